--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -4,7 +4,7 @@
 packages=(build-essential cmake ninja-build ccache clang clang-format clang-tidy clang-tools
   qt6-base-dev qt6-httpserver-dev qt6-websockets-dev qt6-scxml-dev
   thrift-compiler libthrift-dev libcli11-dev libfmt-dev zlib1g-dev libboost-dev nlohmann-json3-dev
-  libgtest-dev libgmock-dev libbenchmark-dev librapidcheck-dev libclang-rt-14-dev curl)
+  libgtest-dev libgmock-dev libbenchmark-dev librapidcheck-dev libclang-rt-14-dev python3 curl)
 missing=()
 for package in "${packages[@]}"; do
   dpkg-query -W -f='${Status}' "$package" 2>/dev/null | grep -q 'ok installed' || missing+=("$package")
