--- a/packages/gateway/include/azurewell/gateway/adapter_uses.h
+++ b/packages/gateway/include/azurewell/gateway/adapter_uses.h
@@ -12,12 +12,12 @@
 /// An adapter at an engine.
 using AdapterPlace = std::pair<UpstreamId, ModelName>;
 
-/// What this host's requests do with one adapter at one engine.
+/// Use of one adapter at one engine by requests of this host.
 struct OwnUse
 {
-    std::uint32_t running = 0; ///< Requests that run now.
-    std::uint32_t begun = 0;   ///< Since the host that orders there was told.
-    bool isTold = false;       ///< That host thinks that it is in use here.
+    std::uint32_t running = 0; ///< Requests in progress.
+    std::uint32_t begun = 0;   ///< Requests started since the last report to the coordinator.
+    bool isTold = false;       ///< The coordinator has the adapter recorded as in use by this host.
 };
 
 using OwnUses = std::map<AdapterPlace, OwnUse>;
@@ -25,16 +25,16 @@
 void beginUse(OwnUses &uses, const AdapterPlace &place);
 void endUse(OwnUses &uses, const AdapterPlace &place);
 
-/// What to tell the host that orders at \a engine; what is told is noted as told.
+/// Returns the uses to report to the coordinator of \a engine and marks them as reported.
 std::vector<AdapterUse> takeUntold(OwnUses &uses, const UpstreamId &engine);
 
-/// What other hosts told of the adapters of one engine: until when each is taken for in use by
-/// whom.
+/// Uses of one engine's adapters as reported by other hosts; each holds until the given time.
 using OtherUses = std::map<AdapterRef, std::map<HostId, Instant>>;
 
-/// \a host uses \a adapter, or does no more. It tells so again after \a toldEvery.
+/// Records that \a host uses \a adapter, or no longer does. The host repeats its report every
+/// \a reportInterval.
 void noteOtherUse(OtherUses &uses, const AdapterRef &adapter, const HostId &host, bool isRunning,
-                  Span toldEvery, Instant now);
+                  Span reportInterval, Instant now);
 
 bool isUsedElsewhere(const OtherUses &uses, const AdapterRef &adapter, Instant now);
 
--- a/packages/gateway/include/azurewell/gateway/choose_upstream.h
+++ b/packages/gateway/include/azurewell/gateway/choose_upstream.h
@@ -10,59 +10,59 @@
 
 namespace azurewell::gateway {
 
-/// Versions of adapters that were declared; an adapter that is not listed has its first version.
+/// Declared versions of adapters; an adapter that is not listed has its first version.
 using DeclaredVersions = std::map<ModelName, std::uint64_t>;
 
-/// The version of \a adapter that was declared; 0: none was.
+/// The declared version of \a adapter; 0 if none was declared.
 std::uint64_t declaredVersion(const DeclaredVersions &versions, const ModelName &adapter);
 
-/// What a request needs of an upstream.
+/// Requirements of a request on its upstream.
 struct UpstreamNeed
 {
     ServiceId service;
     ModelName model;               ///< Empty for a plain service.
-    std::set<UpstreamId> excluded; ///< Refused or failed this request already.
-    Span duration{}; ///< How long the request may need: upstreams that end before are left out.
-    ZoneId zone;     ///< Of this host.
-    double readPerSecond = 1;  ///< Prompt tokens that an engine reads.
-    bool isSentAtOnce = false; ///< Without asking for a turn: upstreams that state a limit are out.
+    std::set<UpstreamId> excluded; ///< Upstreams that already refused or failed this request.
+    Span duration{}; ///< Expected duration; upstreams that are terminated before its end are
+                     ///< excluded.
+    ZoneId zone;     ///< Zone of this host.
+    double prefillTokensPerSecond = 1;   ///< Prompt tokens that an engine reads per second.
+    bool isSentWithoutAdmission = false; ///< Excludes upstreams with a rate limit.
 };
 
-/// Whether \a upstream may get a request with \a need, its model aside.
+/// Whether \a upstream can take a request with \a need, apart from its model.
 bool fits(const Upstream &upstream, const UpstreamNeed &need, Instant now);
 
-/// Prompt tokens that were sent to \a upstream and are not read yet, as far as reckoned.
-double promptsBefore(const Upstream &upstream, Instant now);
+/// Estimate of the prompt tokens that were sent to \a upstream and not read yet.
+double queuedPromptTokens(const Upstream &upstream, Instant now);
 
-/// How long a request would wait at \a upstream before it starts, in seconds, where it reads
-/// \a readPerSecond prompt tokens. Counts what the upstream stated last and what this host has sent
-/// since.
-double expectedWait(const Upstream &upstream, double readPerSecond, Instant now);
+/// Expected time in seconds until \a upstream starts a new request, if it reads
+/// \a prefillTokensPerSecond prompt tokens a second. Includes the load that the upstream last
+/// stated and what this host has sent since.
+double expectedWait(const Upstream &upstream, double prefillTokensPerSecond, Instant now);
 
-/// Whether \a upstream can begin a request for \a model: the model, and the adapter in its declared
-/// version, are in its memory.
+/// Whether \a upstream has the model, and the adapter in its declared version, in memory.
 bool isReadyFor(const Upstream &upstream, const ModelName &model, const DeclaredVersions &versions);
 
-/// The usable upstream with the least wait; null where none can begin the request now. Those that
-/// failed lately are chosen only where there is no other. \a draw is uniform in [0, 1) and breaks
-/// ties, so that hosts with the same view do not all choose the same one.
+/// The usable upstream with the shortest wait; null if none can start the request now. Upstreams
+/// that failed recently are chosen only if there is no other. \a draw is uniform in [0, 1) and
+/// breaks ties, so that hosts with the same view do not all choose the same upstream.
 const Upstream *chooseUpstream(const UpstreamMap &upstreams, const UpstreamNeed &need,
                                const DeclaredVersions &versions, double draw, Instant now);
 
-/// The engine whose load of the adapter should be over, though no report shows it; null where there
-/// is none.
-const Upstream *chooseFinishedLoad(const UpstreamMap &upstreams, const UpstreamNeed &need,
-                                   const LoadTimes &times, Instant now);
+/// An engine whose load of the adapter is expected to be done although no report shows it; null if
+/// there is none.
+const Upstream *chooseEngineWithFinishedLoad(const UpstreamMap &upstreams, const UpstreamNeed &need,
+                                             const LoadTimes &times, Instant now);
 
-/// The usable engine at which the adapter should be loaded; null where none can load it.
+/// The usable engine that should load the adapter; null if none can.
 ///
-/// Load pattern: thousands of adapters, a few of them popular, and a handful of places on each
-/// engine. An adapter that an engine held lately loads ten times as fast there, so an adapter comes
-/// back to the engine that held it last unless that one has much more to do than others. One that
-/// nobody held goes to the zone of its caller: most adapters are asked for once or twice, and their
-/// prompts need not cross between zones.
+/// Load pattern: thousands of adapters, a few of them popular, and a handful of slots on each
+/// engine. An adapter loads ten times as fast on an engine that recently held it, so it returns to
+/// the engine that last held it unless that engine is much busier than others. An adapter that no
+/// engine held is loaded in the caller's zone: most adapters are requested once or twice, and their
+/// prompts need not cross zones.
 const Upstream *chooseEngineToLoad(const UpstreamMap &upstreams, const UpstreamNeed &need,
-                                   const LastHolders &lastHolders, std::uint32_t adapterPlaces,
+                                   const LastEngines &lastHolders, std::uint32_t adapterPlaces,
                                    Instant now);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/configuration.h
+++ b/packages/gateway/include/azurewell/gateway/configuration.h
@@ -13,33 +13,33 @@
 
 namespace azurewell::gateway {
 
-/// What may be done with a request a second time.
+/// Whether a request may be repeated.
 enum class RepeatPolicy : std::uint8_t {
     Idempotent,    ///< May run more than once.
-    NonIdempotent, ///< Runs once at the most.
-    Stream,        ///< As NonIdempotent, unless the route's streams may be resumed.
+    NonIdempotent, ///< Runs at most once.
+    Stream,        ///< As NonIdempotent, unless the route's streams are resumable.
 };
 
-/// A service that gets part of a route's requests.
+/// A service with its weight in the distribution of a route's requests.
 struct WeightedService
 {
     ServiceId service;
     double weight = 1.0;
 };
 
-/// Where requests for a host name and path go, and what callers expect of them.
+/// Destination and service levels of requests for a host name and path prefix.
 struct Route
 {
     std::string name;
     std::string host;
     std::string prefix; ///< Begins and ends with a slash.
     RepeatPolicy repeat = RepeatPolicy::NonIdempotent;
-    bool isResumable = false;       ///< A broken stream may go on at another upstream.
-    bool isPublic = false;          ///< Needs no key.
-    Span timeout{};                 ///< The caller has its final answer by then.
-    Span objective{};               ///< An answer (a stream's first event) within this is in time.
-    std::uint32_t priority = 0;     ///< 0 is the most urgent.
-    std::uint32_t mostAttempts = 1; ///< Upstreams at which one request may run.
+    bool isResumable = false;   ///< A broken stream may be resumed at another upstream.
+    bool isPublic = false;      ///< Requires no key.
+    Span timeout{};             ///< The caller gets a final answer within this time.
+    Span objective{};           ///< Target time to the answer (of a stream: to its first event).
+    std::uint32_t priority = 0; ///< 0 is the most urgent.
+    std::uint32_t mostAttempts = 1; ///< Maximum number of upstreams at which one request may run.
     std::vector<WeightedService> services;
 };
 
@@ -51,13 +51,13 @@
     Span loadTime{};
 };
 
-/// What the engines of a service have in common.
+/// Limits that the engines of a service share.
 struct EngineLimits
 {
-    std::uint32_t batchSlots = 1;    ///< Requests that run at once.
-    std::uint32_t adapterPlaces = 0; ///< Adapters loaded at once, those under way included.
+    std::uint32_t batchSlots = 1;    ///< Requests that run concurrently.
+    std::uint32_t adapterPlaces = 0; ///< Adapters on the engine, including loading ones.
     double weightMegabytes = 0;
-    double baseLoadsPerSecond = 1; ///< From the weight store, over all engines.
+    double baseLoadsPerSecond = 1; ///< Rate of the weight store over all engines.
     std::vector<BaseModel> models;
 };
 
@@ -65,7 +65,7 @@
 {
     ServiceId id;
     std::string healthPath;
-    std::uint32_t mostConnections = 0;  ///< Of one upstream, from all hosts together.
+    std::uint32_t mostConnections = 0;  ///< To one upstream, from all hosts together.
     std::optional<EngineLimits> engine; ///< Empty for a plain service.
 };
 
@@ -76,11 +76,11 @@
     std::vector<KeyHash> keys;
     TokenRate rate; ///< 0: no limit.
     Tokens burst;
-    bool countsTokens = false; ///< Otherwise a request counts as 1.
-    Tokens tokensWithoutWord;  ///< What a request counts as that states no tokens.
+    bool countsTokens = false; ///< If false, each request counts as 1.
+    Tokens tokensWithoutWord;  ///< Cost of a request that states no tokens.
 };
 
-/// What callers may send.
+/// Limits on what callers may send.
 struct CallerLimits
 {
     std::uint32_t headBytes = 16 * 1024;
@@ -89,30 +89,30 @@
     Span idlePatience = std::chrono::seconds(15);
 };
 
-/// One version of the operator's configuration, whole.
+/// One complete version of the operator's configuration.
 struct Configuration
 {
-    std::uint64_t version = 0; ///< 0: none is known.
+    std::uint64_t version = 0; ///< 0: none received yet.
     std::vector<Route> routes;
     std::vector<Service> services;
     std::vector<Customer> customers;
     CallerLimits limits;
-    std::unordered_map<KeyHash, std::size_t> customerOfKey; ///< Made by indexKeys().
+    std::unordered_map<KeyHash, std::size_t> customerOfKey; ///< Filled by indexKeys().
 };
 
 /// Fills customerOfKey.
 void indexKeys(Configuration &configuration);
 
-/// The route of \a host with the longest prefix of \a path; null where there is none.
+/// The route of \a host with the longest prefix of \a path; null if there is none.
 const Route *findRoute(const Configuration &configuration, std::string_view host,
                        std::string_view path);
 
 const Service *findService(const Configuration &configuration, const ServiceId &id);
 
-/// The customer that holds the key; null where nobody does.
+/// The customer that owns \a key; null if there is none.
 const Customer *findCustomer(const Configuration &configuration, const KeyHash &key);
 
-/// The service that a request of \a route goes to, by weight. \a draw is uniform in [0, 1).
+/// Picks the service for a request of \a route by weight. \a draw is uniform in [0, 1).
 const ServiceId *pickService(const Route &route, double draw);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/events.h
+++ b/packages/gateway/include/azurewell/gateway/events.h
@@ -13,22 +13,23 @@
 
 namespace azurewell::gateway {
 
-/// A request of a caller on this host, counted from the start of the process.
+/// Number of a caller's request on this host, counted from the start of the process.
 using RequestNumber = StrongId<struct RequestNumberTag, std::uint64_t>;
 
-/// A caller's request, read whole.
+/// A caller's request has been read completely.
 struct RequestArrived
 {
     RequestNumber request;
-    std::string callerId; ///< As the caller names it; for the log.
+    std::string callerId; ///< The caller's own name for the request; for the log.
     std::string host;
     std::string path;
     ContentDigest content;
     std::optional<KeyHash> key;
-    ModelName model; ///< Empty where it names none.
+    ModelName model; ///< Empty if the request names no model.
     Tokens promptTokens;
-    std::optional<Tokens> totalTokens; ///< Prompt and most generated; empty where it states none.
-    Span allowed{};                    ///< The caller waits for so long; 0: not stated.
+    std::optional<Tokens> totalTokens; ///< Prompt tokens plus the maximum of generated tokens;
+                                       ///< empty if not stated.
+    Span allowed{};                    ///< Time that the caller is willing to wait; 0: not stated.
 };
 
 /// The caller closed its connection.
@@ -37,15 +38,15 @@
     RequestNumber request;
 };
 
-/// How an exchange with an upstream ended.
+/// Outcome of one attempt at an upstream.
 enum class AttemptOutcome : std::uint8_t {
-    Done,        ///< The whole answer was passed on.
+    Done,        ///< The complete answer was forwarded.
     NotSent,     ///< No byte reached the upstream.
-    NotRun,      ///< The upstream says that it did not run the request.
-    NotThere,    ///< The same, since the model, adapter or version is not there, or the upstream is
-                 ///< another one.
-    Failed,      ///< It may have run, and no usable answer came.
-    FaultStated, ///< A whole answer was passed on that tells of a fault of the upstream.
+    NotRun,      ///< The upstream states that it did not run the request.
+    NotThere,    ///< Not run: the model, adapter or version is missing, or another upstream has the
+                 ///< address.
+    Failed,      ///< The request may have run, and there was no usable answer.
+    FaultStated, ///< A complete answer was forwarded that states a fault of the upstream.
 };
 
 struct AttemptEnded
@@ -53,11 +54,11 @@
     RequestNumber request;
     std::uint32_t attempt = 0;
     AttemptOutcome outcome = AttemptOutcome::Done;
-    bool hasAnswerBegun = false; ///< The caller has got a part of the answer.
-    bool isCutOff = false;       ///< The connection ended before the answer did.
+    bool hasAnswerBegun = false; ///< A part of the answer was sent to the caller.
+    bool isCutOff = false;       ///< The connection ended before the answer was complete.
 };
 
-/// The first byte of an answer's body came.
+/// The first byte of an answer's body was received.
 struct AnswerBegan
 {
     RequestNumber request;
@@ -71,29 +72,29 @@
     StatedLoad load;
 };
 
-/// An answer of an upstream, by what it says of the requests that the upstream takes.
+/// An answer of an upstream, with the rate limit that it states or without one.
 struct LimitStated
 {
     UpstreamId upstream;
-    double perSecond = 0; ///< From all hosts together; 0: it names no limit.
-    Instant sentAt;       ///< Of the call that was answered.
+    double perSecond = 0; ///< Limit over all hosts together; 0: none stated.
+    Instant sentAt;       ///< When the answered call was sent.
     bool isReport = false;
 };
 
-/// An engine answered what it holds and does.
+/// An engine answered a report query, or the query failed.
 struct ReportRead
 {
     UpstreamId engine;
     Instant askedAt;
-    std::optional<EngineState> state; ///< Empty: no answer that can be used.
+    std::optional<EngineState> state; ///< Empty: no usable answer.
 };
 
 /// How an engine answered an order.
 enum class OrderOutcome : std::uint8_t {
-    Taken,       ///< It is being carried out.
-    HeldAlready, ///< Nothing was left to do.
+    Taken,       ///< Accepted; in progress.
+    HeldAlready, ///< There was nothing to do.
     Refused,     ///< Not carried out.
-    Unknown,     ///< No answer: it may have been taken.
+    Unknown,     ///< No answer; the order may have been accepted.
 };
 
 struct OrderEnded
@@ -101,22 +102,22 @@
     UpstreamId engine;
     ModelName model;
     bool isLoad = true;
-    std::uint64_t version = 0; ///< Of a load; 0: the newest.
+    std::uint64_t version = 0; ///< Version to load; 0: the newest.
     Instant sentAt;
     OrderOutcome outcome = OrderOutcome::Unknown;
 };
 
-/// Answer a caller with a refusal.
+/// Send a refusal to a caller.
 struct Refuse
 {
     RequestNumber request;
     ResultCode code = ResultCode::InternalError;
-    bool isNotRun = true; ///< The request has certainly not run, and never will.
-    Span retryAfter{};    ///< When coming back makes sense; 0: no word on it.
-    RequestDigest digest; ///< Of the request; for the log.
+    bool isNotRun = true; ///< The request has not run and never will.
+    Span retryAfter{};    ///< When the caller should retry; 0: not stated.
+    RequestDigest digest; ///< Digest of the request; for the log.
 };
 
-/// Send a request to an upstream and pass its answer on.
+/// Send a request to an upstream and forward its answer.
 struct Dispatch
 {
     RequestNumber request;
@@ -124,19 +125,19 @@
     UpstreamId upstream;
     Endpoint address;
     CustomerId customer;              ///< Empty on a public route.
-    std::uint64_t adapterVersion = 0; ///< The version it must run on; 0: any.
+    std::uint64_t adapterVersion = 0; ///< Required version of the adapter; 0: any.
     Span allowed{};
-    /// A broken answer that the caller has nothing of may be replaced: the whole is read first.
+    /// Buffer the whole answer before forwarding it, so that a broken one can be replaced.
     bool isHeldBack = false;
 };
 
-/// End the exchange of a request.
+/// Cancel the current attempt of a request.
 struct CancelAttempt
 {
     RequestNumber request;
 };
 
-/// Order an engine.
+/// Send a load or unload order to an engine.
 struct OrderEngine
 {
     UpstreamId engine;
@@ -147,7 +148,7 @@
     FencingNumber fencing;
 };
 
-/// Ask an engine what it holds and does.
+/// Query an engine for its report.
 struct AskReport
 {
     UpstreamId engine;
@@ -157,19 +158,19 @@
 struct SendGossip
 {
     Endpoint to;
-    std::shared_ptr<const Gossip> message; ///< One for all that it goes to: it is encoded once.
+    std::shared_ptr<const Gossip> message; ///< Shared by all receivers and encoded only once.
     MessageKind kind = MessageKind::Heartbeat;
     bool isToOtherZone = false;
 };
 
-/// Something that an operator may have to explain afterwards; for the log.
+/// A log line that lets an operator reconstruct a decision.
 struct Note
 {
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
 };
 
-/// What the core asks of its shell.
+/// Actions that the core requests from its shell.
 struct Actions
 {
     std::vector<Refuse> refusals;
--- a/packages/gateway/include/azurewell/gateway/gateway.h
+++ b/packages/gateway/include/azurewell/gateway/gateway.h
@@ -27,39 +27,39 @@
 
 namespace azurewell::gateway {
 
-/// Who this host is, and what its process was told at its start.
+/// Identity of this host and the settings that its process was started with.
 struct Identity
 {
     HostId id;
     ZoneId zone;
-    Endpoint address; ///< Of its messages to other hosts.
+    Endpoint address; ///< Where other hosts send messages to.
     Incarnation incarnation;
-    bool isFirstStart = false; ///< The whole system starts for the first time.
+    bool isFirstStart = false; ///< Whether the whole system starts for the first time.
     std::uint64_t randomSeed = 0;
     MeterLimits meterLimits;
-    Span stopGrace{}; ///< The process is killed so long after it was asked to stop.
-    Span inForceWithin = std::chrono::seconds(2); ///< A confirmed change is to be known after this.
-    std::uint32_t linkMbps = 0;                   ///< Of this machine; 0: not known.
-    std::vector<Endpoint> seeds;                  ///< Hosts that may know others; may be stale.
+    Span stopGrace{}; ///< Time from the stop request until the process is killed.
+    Span inForceWithin = std::chrono::seconds(2); ///< Propagation limit of confirmed changes.
+    std::uint32_t linkMbps = 0;                   ///< Bandwidth of this machine's link; 0: unknown.
+    std::vector<Endpoint> seeds; ///< Hosts that may know other hosts; may be stale.
 };
 
 enum class RequestPhase : std::uint8_t {
-    Waiting, ///< For an adapter, or for an engine to be less crowded.
+    Waiting, ///< For an adapter load or for prompt admission.
     AtUpstream,
 };
 
-/// Whether the host that orders at an engine was asked when a prompt may leave for it.
-enum class PromptTurnState : std::uint8_t { NotAsked, Asked, Known };
+/// State of the admission request that was sent to the engine's coordinator.
+enum class PromptTurnState : std::uint8_t { NotRequested, Asked, Answered };
 
-/// When a request may leave for an upstream.
-struct EngineTurn
+/// Time at which a prompt may be sent to an engine.
+struct EngineAdmission
 {
     UpstreamId engine;
     Instant at;
     bool isPermit = false;
 };
 
-/// A caller's request on its way through this host.
+/// A caller's request while this host processes it.
 struct RequestRecord
 {
     RequestArrived asked;
@@ -70,82 +70,80 @@
     bool isResumable = false;
     std::uint32_t mostAttempts = 1;
     Instant arrivedAt;
-    Instant deadline; ///< The caller has its final answer by then.
+    Instant deadline; ///< The caller gets a final answer by this time.
     RequestPhase phase = RequestPhase::Waiting;
-    Instant placedBy; ///< While waiting: given up then.
+    Instant placementDeadline; ///< The request is refused if it is still waiting then.
     UpstreamId upstream;
     Instant sentAt;
-    bool isSentToIdle = false; ///< The engine had little else to read.
+    bool isEngineIdle = false; ///< Few other prompts were queued when the request was sent.
     std::uint32_t attempt = 0;
-    std::uint32_t mayHaveRun = 0; ///< Attempts after which the request can have run.
+    std::uint32_t mayHaveRun = 0; ///< Number of attempts after which the request may have run.
     std::set<UpstreamId> excluded;
     bool hasAnswerBegun = false;
-    bool isAheadOfReport = false; ///< Sent before a report shows its adapter.
-    PromptTurnState turn = PromptTurnState::NotAsked;
-    UpstreamId turnEngine;               ///< For which it was asked.
-    std::optional<EngineTurn> firstTurn; ///< While another engine is asked.
-    bool isPermit = false; ///< The turn counts against the limit that its upstream states.
-    Span permitWait{};     ///< Of a permit that would have come too late; 0: there was none.
-    Instant turnAt; ///< When its prompt may leave; while it is asked: when no answer is awaited any
-                    ///< more.
+    bool isEarlyAttempt = false; ///< Sent before a report shows that its adapter is loaded.
+    PromptTurnState turn = PromptTurnState::NotRequested;
+    UpstreamId admissionEngine;                    ///< The engine that admission was requested for.
+    std::optional<EngineAdmission> firstAdmission; ///< Set while a second engine is asked.
+    bool isPermit = false; ///< The admission counts against the rate limit of the upstream.
+    Span permitWait{};     ///< Shortest wait for a permit that came too late; 0: none did.
+    Instant turnAt; ///< When the prompt may be sent; while the request is unanswered: its timeout.
 };
 
 /// A load that requests of this host wait for.
 struct AwaitedLoad
 {
     UpstreamId engine;
-    Instant askAgainAt;    ///< The word may be lost.
-    Instant otherEngineAt; ///< Another engine is asked then.
+    Instant askAgainAt;    ///< When the load request is sent again, as messages may be lost.
+    Instant otherEngineAt; ///< When another engine is asked instead.
     std::set<UpstreamId> refusedBy;
 };
 
-/// An engine, as far as orders go.
+/// State of an engine that is needed to order loads and unloads.
 struct OrderedEngine
 {
     OrderRights rights;
-    EngineAdapters adapters;                  ///< Kept while this host orders there.
-    std::int64_t start = 0;                   ///< Of the engine's life that `adapters` describe.
-    std::map<AdapterRef, Instant> unloadedAt; ///< Unload orders not yet seen to be carried out.
+    EngineAdapters adapters; ///< Maintained while this host coordinates the engine.
+    std::int64_t start = 0;  ///< The engine start that `adapters` belongs to.
+    std::map<AdapterRef, Instant> unloadedAt; ///< Unload orders that no report confirms yet.
     PromptPacer pacer;
     PermitPacer permits;
-    std::map<AdapterRef, Instant> awaitedUntil; ///< Loads that requests wait for are kept so long.
-    OtherUses otherUses;          ///< Adapters that other hosts use here; they are not evicted.
-    std::deque<ModelName> wanted; ///< Loads to order, oldest first.
-    std::deque<AdapterRef> heldLately;      ///< Newest first; the engine loads these quickly.
-    std::optional<ModelName> orderOnItsWay; ///< Whether it was taken is not known yet.
-    bool isReportOnItsWay = false;
-    Instant reportAskedAt;
+    std::map<AdapterRef, Instant> awaitedUntil; ///< Kept for waiting requests until this time.
+    OtherUses otherUses; ///< Adapters that other hosts use at this engine; they are not evicted.
+    std::deque<ModelName> wanted;                ///< Loads to order, oldest first.
+    std::deque<AdapterRef> adaptersInHostMemory; ///< Newest first; the engine loads these faster.
+    std::optional<ModelName> pendingOrder;       ///< An order that the engine has not answered yet.
+    bool isReportPending = false;
+    Instant reportRequestedAt;
     Instant nextReportAt;
-    Instant nextBaseOrderAt; ///< The base model is ordered again then, if it is not there.
-    std::map<HostId, Instant>
-            awaitedBy; ///< Hosts of other zones that asked for a load here lately.
+    Instant nextBaseOrderAt; ///< When the base model is ordered again if it is still missing.
+    std::map<HostId, Instant> awaitedBy; ///< Hosts of other zones awaiting loads, with expiry.
 };
 
-/// The host that orders at each engine, kept until the set of hosts that are alive may differ. To
-/// rank 86 hosts for 90 engines at each tick and for each message took a tenth of a core.
-struct HolderCache
+/// Caches the coordinator of each engine until the set of live hosts changes. Ranking 86 hosts for
+/// 90 engines on each tick and each message took a tenth of a core.
+struct CoordinatorCache
 {
     struct Entry
     {
-        std::uint64_t generation = 0; ///< Of the members, when it was found.
-        ZoneId zone;                  ///< Of the engine, when it was found.
-        HostId holder;
+        std::uint64_t generation = 0; ///< Members' generation when it was computed.
+        ZoneId zone;                  ///< Zone of the engine when it was computed.
+        HostId coordinator;
     };
     std::map<UpstreamId, Entry> entries;
 };
 
-/// Published changes that others know and this host does not.
+/// Published changes that other hosts have and this host does not.
 struct Behind
 {
-    std::uint64_t upTo = 0; ///< Others know changes up to this revision.
-    Instant since;          ///< For so long.
+    std::uint64_t upTo = 0; ///< Highest revision that another host has.
+    Instant since;          ///< When this host was first known to lag behind.
 };
 
-/// How often each thing happened since the start; published as metrics.
+/// Event counts since the start of the process; published as metrics.
 struct Counters
 {
     std::map<ResultCode, std::uint64_t> refusals;
-    std::map<ResultCode, std::uint64_t> retries; ///< By what the attempt before ended with.
+    std::map<ResultCode, std::uint64_t> retries; ///< By the result of the previous attempt.
     std::uint64_t requests = 0;
     std::uint64_t dispatched = 0;
     std::uint64_t answered = 0;
@@ -154,65 +152,67 @@
     std::uint64_t unloadsOrdered = 0;
     std::uint64_t baseLoadsOrdered = 0;
     SentCounts sent;               ///< Messages to other hosts.
-    std::uint64_t engineLooks = 0; ///< Times that it was looked at what is due at an engine.
+    std::uint64_t engineLooks = 0; ///< How often engines were polled for due work.
     std::uint64_t gossipReceived = 0;
 };
 
-/// Everything that one host knows. Lost when the process ends, and safe when lost.
+/// The whole state of one host. It is kept in memory only and can be lost safely.
 struct GatewayState
 {
     Identity self;
     KnownCharts charts;
     std::mt19937_64 random;
     Instant startedAt;
-    Instant stopAskedAt; ///< Zero: not asked.
+    Instant stopAskedAt; ///< Zero: no stop was requested.
 
     Configuration configuration;
     DeclaredVersions versions;
     UpstreamMap upstreams;
     PublishedState published;
     PartialItems partialItems;
-    PackedItem packedItem;                ///< The last one that was sent in parts.
-    std::vector<PublishedItem> undecoded; ///< From other hosts; the platform's adapter takes them.
+    PackedItem packedItem;                ///< The last item that was sent in parts.
+    std::vector<PublishedItem> undecoded; ///< From other hosts; the platform adapter decodes them.
     Members members;
-    HolderCache holders;
-    std::set<UpstreamId> sentTo;  ///< Upstreams that got prompts from this host lately.
-    std::set<UpstreamId> newWork; ///< Engines that got prompts from this host since it told so.
+    CoordinatorCache coordinators;
+    std::set<UpstreamId> sentTo;  ///< Upstreams that recently got prompts from this host.
+    std::set<UpstreamId> newWork; ///< Engines with prompts that were not yet sent as updates.
     Instant nextAskForChangesAt;
     PlatformReader platformReader;
     PlatformView platform = PlatformView::NotRead;
-    Instant platformFailedAt; ///< The platform did not answer then; zero: it always has.
+    Instant platformFailedAt; ///< Time of the platform's last failure; zero: none.
     Behind behind;
 
     std::map<CustomerId, CustomerMeter> meters;
     std::map<ServiceId, RetryBudget> retryBudgets;
     CrashQuarantine quarantine;
-    std::set<UpstreamId> limitsToTell;
+    std::set<UpstreamId> limitsToSend;
 
     std::unordered_map<RequestNumber, RequestRecord> requests;
-    std::set<RequestNumber> waiting; ///< Those that are in RequestPhase::Waiting.
+    std::set<RequestNumber> waiting; ///< Requests in RequestPhase::Waiting.
     std::map<ModelName, AwaitedLoad> awaitedLoads;
-    LastHolders lastHolders;
-    std::map<ServiceId, ReadingRate> readingRates;
-    std::map<std::string, LoadTimes> loadTimes; ///< Of the adapters of each base model.
+    LastEngines lastHolders;
+    std::map<ServiceId, PrefillRate> prefillRates;
+    std::map<std::string, LoadTimes> loadTimes; ///< Load times of adapters, by base model.
     std::map<UpstreamId, OrderedEngine> engines;
-    DeadlineQueue<UpstreamId> engineLooks;   ///< When something is due at each engine.
-    std::uint64_t engineLooksGeneration = 0; ///< Of the members, when all were looked at last.
-    std::set<UpstreamId> ownEngines;         ///< Those at which this host ranks first.
-    std::set<UpstreamId> changedEngines;     ///< The others have to be told.
-    std::set<UpstreamId> triedEngines; ///< With requests sent before a report shows their load.
+    DeadlineQueue<UpstreamId> engineLooks;   ///< Next time at which each engine is polled.
+    std::uint64_t enginePollsGeneration = 0; ///< Generation of the members when last polled.
+    std::set<UpstreamId> ownEngines;         ///< Engines for which this host ranks first.
+    std::set<UpstreamId> changedEngines; ///< Engines whose changes have to be sent to other hosts.
+    std::set<UpstreamId> earlyAttemptEngines; ///< Engines with requests that were sent before a
+                                              ///< report shows the load as done.
     DeadlineQueue<RequestNumber> requestDeadlines;
-    OwnUses ownUses; ///< Adapters that this host's requests use.
+    OwnUses ownUses; ///< Adapters in use by requests of this host.
     std::map<ModelName, DecayedSum>
-            adapterDemand; ///< Prompt tokens that callers of this host sent.
+            adapterDemand; ///< Prompt tokens that callers of this host sent, by adapter.
 
-    HostId lastMemberTold; ///< Members are told of in turn; the last of the message before.
+    HostId lastMemberTold; ///< Members are sent in rotation; this is the last one of the previous
+                           ///< message.
     Instant nextTidyAt;
-    Instant nextForgetAt;
-    Instant nextUsesAt; ///< Of customers near their limit, in a large fleet.
+    Instant nextRemovalCheckAt;
+    Instant nextUsesAt; ///< Next update on customers near their limit, in a large fleet.
     ZoneRelay relay;
-    Instant nextOwnNewsAt; ///< All that the other zones are to know is told again then.
-    std::map<CustomerId, double> toldUses; ///< Admitted tokens that a relay was told last.
+    Instant nextOwnNewsAt;                 ///< When the full state is next sent to the other zones.
+    std::map<CustomerId, double> toldUses; ///< Admitted tokens as last sent to a relay.
     Instant nextSeedsAt;
     FencingNumber highestFencing;
     Counters counters;
@@ -220,8 +220,8 @@
 
 void start(GatewayState &state, const Identity &self, KnownCharts charts, Instant now);
 
-/// Each event of the shell. \a wallMillis is the wall clock in ms since 1970; it is used for
-/// fencing numbers alone, and a clock that steps does no harm there.
+/// Handle one event of the shell. \a wallMillis is the wall clock in ms since 1970. It is used for
+/// fencing numbers only, which tolerate clock steps.
 void handle(GatewayState &state, const RequestArrived &event, Instant now, Actions &actions);
 void handle(GatewayState &state, const CallerLeft &event, Instant now, Actions &actions);
 void handle(GatewayState &state, const AnswerBegan &event, Instant now, Actions &actions);
@@ -233,30 +233,32 @@
 void handle(GatewayState &state, const Gossip &message, Instant now, Actions &actions);
 void tick(GatewayState &state, std::uint64_t wallMillis, Instant now, Actions &actions);
 
-/// What the platform publishes, decoded.
+/// Apply decoded state that the platform publishes.
 void setConfiguration(GatewayState &state, Configuration configuration);
 void listUpstream(GatewayState &state, const ListedUpstream &listed, Instant now);
 void removeUpstream(GatewayState &state, const UpstreamId &id, Instant now);
 void declareVersion(GatewayState &state, const ModelName &adapter, std::uint64_t version);
 void notePlatformFailure(GatewayState &state, Instant now);
 
-/// The platform answered this host; \a isNew: with changes, which the zone is to hear of soon.
+/// Records that the platform answered this host. \a isNew: the answer contains changes, which are
+/// sent to the zone without delay.
 void notePlatformAnswer(GatewayState &state, bool isNew, Instant now);
 
-/// Whether this host is to read what the platform publishes. In a large fleet a few hosts of each
-/// zone do, and the others are told: 86 hosts that all watch made 100 calls a second between them,
-/// each of which is paid for. Where the platform turns those few away, the next ones read.
+/// Whether this host should read published state from the platform. In a large fleet a few hosts of
+/// each zone read it and send updates to the others: 86 hosts that all watched made 100 calls a
+/// second, each of which is paid for. Where the platform rejects those hosts, the next ones in rank
+/// read.
 bool readsPlatform(GatewayState &state, Instant now);
 
-/// The process is asked to stop: the others are told, and orders end.
+/// Handles the request to stop the process: notifies the other hosts and gives no further orders.
 void beginStop(GatewayState &state, Instant now, Actions &actions);
 
 bool isStopping(const GatewayState &state);
 
-/// Whether this host can serve: it knows a configuration and does not stop.
+/// Whether this host can serve requests: it has a configuration and is not stopping.
 bool isReady(const GatewayState &state);
 
-/// How often tick() is to be called. Short against the 250 ms of an adapter's load.
+/// Interval between calls of tick(). Short compared with the 250 ms of an adapter load.
 inline constexpr Span tickInterval = std::chrono::milliseconds(20);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/order_rights.h
+++ b/packages/gateway/include/azurewell/gateway/order_rights.h
@@ -5,75 +5,79 @@
 
 namespace azurewell::gateway {
 
-/// Who may order an engine to load and unload.
+/// The right of this host to order loads and unloads at an engine.
 ///
-/// Engines here do not check fencing numbers. Two hosts whose orders reach one engine evict each
-/// other's adapters, and an adapter that one of them is about to use is gone. There is nothing to
-/// write a lease to; what both can reach is the engine itself, which counts the orders that it
-/// took.
+/// Engines here do not check fencing numbers. Two hosts that order at the same engine evict each
+/// other's adapters, including adapters that are about to be used. There is no store for a lease.
+/// The only thing that both hosts can reach is the engine itself, which counts the orders that it
+/// accepted.
 ///
-/// So the host that ranks first for an engine among those that are heard orders there, and it
-/// begins only after the engine's count has stood still for `takeoverWait`. While it goes on
-/// ordering, the moving count keeps the others away. A host that was paused finds at its next
-/// report that the count has moved without it, and waits like any other.
+/// The coordinator of an engine is the reachable host that ranks first for it. It starts to order
+/// only after the engine's order count has been unchanged for `takeoverWait`. While it keeps
+/// ordering, the changing count prevents other hosts from starting. A host that was paused sees in
+/// its next report that the count has changed, and waits like any other host.
 ///
-/// Where a host is silent it may be alive behind a cut, and both sides rank first in their own
-/// eyes. Then only a host that hears most of the engine's zone begins. One on the smaller side goes
-/// on with its orders while they follow each other closely enough for the other side to see them.
+/// An unreachable host may be alive on the other side of a network partition, where it also ranks
+/// first. Then only a host that reaches most of the engine's zone starts to order. A coordinator in
+/// the minority continues only while its orders follow each other closely enough for the other side
+/// to see them.
 struct OrderRights
 {
-    std::uint64_t expectedOrders = 0; ///< The engine's count as far as this host moved it.
-    std::int64_t start = 0;           ///< Of the engine's life that is counted.
-    Instant stillSince;    ///< No other host's order was seen since; zero: not watched yet.
-    Instant confirmedAt;   ///< The newest report that showed no other host's order.
-    Instant lastOrderAt;   ///< This host's last order that the engine took.
-    FencingNumber fencing; ///< Of the present period of ordering.
+    std::uint64_t expectedOrders = 0; ///< Order count expected from this host's orders.
+    std::int64_t start = 0;           ///< The engine start that the count belongs to.
+    Instant unchangedSince; ///< Since when no other host's order was seen; zero: no report yet.
+    Instant confirmedAt;    ///< The newest report that showed no order of another host.
+    Instant lastOrderAt;    ///< Last order of this host that the engine accepted.
+    FencingNumber fencing;  ///< Fencing number of the current period of ordering.
     bool isHolding = false;
 };
 
-/// How long an engine's count must stand still before another host begins. Orders of two hosts
-/// within 3 s of each other count as a conflict; a report is some 100 ms old.
+/// How long the order count must be unchanged before another host starts to order. Orders of two
+/// hosts within 3 s of each other count as a conflict; a report is some 100 ms old.
 inline constexpr Span takeoverWait = std::chrono::milliseconds(3500);
 
-/// A holder whose last order is older than this confirms its right like a new one if some host is
-/// silent: that one may be about to begin, and sees an order here only after some 400 ms.
-inline constexpr Span holdingLapse = std::chrono::milliseconds(1500);
+/// A coordinator whose last order is older than this must confirm its right again if any host is
+/// unreachable. That host may be about to start ordering, and sees an order of this host only after
+/// some 400 ms.
+inline constexpr Span maxOrderGap = std::chrono::milliseconds(1500);
 
-/// A report older than this confirms nothing.
+/// Maximum age of a report that can confirm the right to order.
 inline constexpr Span reportValidity = std::chrono::milliseconds(900);
 
-/// Takes a report of the engine that was asked for at \a askedAt.
-void noteReport(OrderRights &rights, const EngineState &engine, Instant askedAt, Instant now);
+/// Updates \a rights from a report of the engine that was requested at \a requestedAt.
+void noteReport(OrderRights &rights, const EngineState &engine, Instant requestedAt, Instant now);
 
-/// Takes what another host tells of an engine. It shows moves of the count, and confirms nothing.
+/// Updates \a rights from another host's update on the engine. It can show that the order count
+/// changed, but cannot confirm the right to order.
 void noteNews(OrderRights &rights, const EngineState &engine, Instant now);
 
-/// The engine took an order of this host that was sent at \a sentAt.
+/// Records that the engine accepted an order of this host that was sent at \a sentAt.
 void noteOrderTaken(OrderRights &rights, Instant sentAt);
 
-/// What is known of this host's start.
+/// How this host was started.
 struct OrderStart
 {
-    /// The whole system starts for the first time: nobody can have given orders before, so that
-    /// there is nothing to wait for but the others' first messages.
+    /// The whole system starts for the first time: no orders can have been given before, so that
+    /// only the first messages of the other hosts have to be awaited.
     bool isFirst = false;
     Instant startedAt;
 };
 
-/// The others have been heard of by then after a first start. They start within 0.3 s of each other
-/// and read late seeds again after a second.
-inline constexpr Span firstOrdersAfter = std::chrono::milliseconds(2500);
+/// Time after a first start by which the other hosts are known. They start within 0.3 s of each
+/// other and read late seeds again after a second.
+inline constexpr Span firstStartDelay = std::chrono::milliseconds(2500);
 
-/// Later, a count of 0 means that the engine has started again, and another host may order there.
-inline constexpr Span firstOrdersUntil = std::chrono::milliseconds(6000);
+/// After this time, an order count of 0 means that the engine has restarted and that another host
+/// may be ordering there.
+inline constexpr Span firstStartWindow = std::chrono::milliseconds(6000);
 
-/// Whether this host may order at \a engine now. Sets `isHolding`, and a new fencing number above
-/// \a newFencing's inputs where ordering begins. A process that was paused and has not looked at
-/// the members since does not order: it would act on what it believed before.
+/// Whether this host may order at \a engine now. Sets `isHolding`, and sets the fencing number to
+/// \a newFencing when a period of ordering starts. A process that was paused and has not updated
+/// the members since may not order, as its view of the other hosts is outdated.
 bool mayOrder(OrderRights &rights, const Upstream &engine, const Members &members,
               const OrderStart &start, FencingNumber newFencing, Instant now);
 
-/// The host that orders at \a engine, as far as this host can tell: the first that is heard.
-HostId presumedHolder(const Upstream &engine, const Members &members, Instant now);
+/// The coordinator of \a engine as seen by this host: the reachable host that ranks first.
+HostId presumedCoordinator(const Upstream &engine, const Members &members, Instant now);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/permit_pacer.h
+++ b/packages/gateway/include/azurewell/gateway/permit_pacer.h
@@ -4,23 +4,22 @@
 
 namespace azurewell::gateway {
 
-/// Hands out the requests that an upstream takes by its stated limit.
+/// Issues permits for requests to an upstream at the rate that the upstream states.
 ///
-/// Load pattern: a server in need takes one request a second from all hosts together. Hosts that
-/// each keep to the limit send 195 times as much, and hosts that each keep to their part of it send
-/// 195 at once after a pause, or nothing where all the callers are at one of them. So one host, the
-/// one that orders at the upstream, says when each request may leave for it. Nothing is saved up
-/// while nobody asks.
+/// Load pattern: an overloaded server accepts one request a second from all hosts together. Hosts
+/// that each apply the whole limit send 195 times as much. Hosts that each apply their share of it
+/// send 195 requests at once after a pause, or none if all the callers are at one host. Therefore
+/// one host, the coordinator of the upstream, issues all permits. Unused permits do not accumulate.
 struct PermitPacer
 {
-    Instant nextAt; ///< Of the next permit; zero: none was given here yet.
+    Instant nextAt; ///< When the next permit is available; zero: none was issued here yet.
 };
 
-/// How long a request waits for its permit, which counts from now on. The first one waits for its
-/// whole turn: the host that gave them before may have given one just now.
-Span takePermit(PermitPacer &pacer, double perSecond, Instant now);
+/// Reserves a permit and returns the wait until it is valid. The first permit waits for a whole
+/// interval, as the previous coordinator may just have issued one.
+Span reservePermit(PermitPacer &pacer, double perSecond, Instant now);
 
-/// A permit is not used.
-void giveBackPermit(PermitPacer &pacer, double perSecond);
+/// Returns an unused permit.
+void returnPermit(PermitPacer &pacer, double perSecond);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/reading_rate.h
+++ b/packages/gateway/include/azurewell/gateway/reading_rate.h
@@ -4,30 +4,30 @@
 
 namespace azurewell::gateway {
 
-/// How many prompt tokens an engine reads in a second, learnt from the time to the first event of
-/// requests.
+/// Prompt tokens that an engine reads per second (prefill rate), learnt from the time to the first
+/// event of requests.
 ///
-/// Load pattern: engines of another model or accelerator read five times as fast or as slowly, and
-/// each wait that decides where work goes is reckoned in tokens before it. With the figure of one
-/// kind of engine, hosts crowd a slow engine until its callers wait for seconds, and on a fast one
-/// bring adapters to second engines that nobody needed.
+/// Load pattern: engines with another model or accelerator read prompts at a fifth or at five times
+/// the rate, and each wait that decides on placement is estimated from the tokens ahead. With the
+/// rate of another kind of engine, hosts overload a slow engine until its callers wait for seconds,
+/// and load adapters needlessly on a second fast engine.
 ///
-/// The slope of the time over the tokens is taken, since part of the time does not depend on them:
-/// the ways, and the first step. All samples count less as new ones come.
-struct ReadingRate
+/// The rate is the slope of time over tokens, since part of the time, such as network latency and
+/// the first step, does not depend on the tokens. Older samples decay as new ones arrive.
+struct PrefillRate
 {
-    ReadingRate();
+    PrefillRate();
 
     double weight = 0;
-    double tokens = 0; ///< Sums over the samples, each times its weight.
+    double tokens = 0; ///< Weighted sums over the samples.
     double seconds = 0;
     double tokensSquared = 0;
     double tokensTimesSeconds = 0;
     double perSecond = 0;
 };
 
-/// A prompt of \a tokens had its first event \a elapsed after it was sent to an engine that had
-/// little else to read.
-void noteRead(ReadingRate &rate, double tokens, Span elapsed);
+/// Records that a prompt of \a tokens got its first event \a elapsed after it was sent to an engine
+/// with little else to read.
+void recordPrefill(PrefillRate &rate, double tokens, Span elapsed);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/request_digest.h
+++ b/packages/gateway/include/azurewell/gateway/request_digest.h
@@ -6,11 +6,11 @@
 
 namespace azurewell::gateway {
 
-/// What all sends of one request have in common, at whichever host they arrive. The customer is in
-/// it, so that nobody can speak for another customer's request by sending an equal one.
+/// Identifies all sends of one request, whichever host receives them. The digest includes the
+/// customer, so that a customer cannot affect another customer's request by sending an equal one.
 RequestDigest digestOf(const CustomerId &customer, const ContentDigest &content);
 
-/// \a digest as it stands in the log.
+/// \a digest as hexadecimal text, as used in the log.
 std::string inHex(const RequestDigest &digest);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/stated_limit.h
+++ b/packages/gateway/include/azurewell/gateway/stated_limit.h
@@ -6,40 +6,40 @@
 
 namespace azurewell::gateway {
 
-/// What one answer of an upstream says of the requests that it takes.
-struct LimitWord
+/// The rate limit that one answer of an upstream states, or its absence.
+struct LimitObservation
 {
-    double perSecond = 0;   ///< From all hosts together; 0: the answer names no limit.
-    std::int64_t start = 0; ///< The life of the upstream that says so.
-    Instant askedAt;        ///< The answer is not older than this,
-    Instant heardAt;        ///< and not newer.
-    bool isReport = false;  ///< It was an answer to a report and not to a request.
+    double perSecond = 0;   ///< Requests per second from all hosts together; 0: none stated.
+    std::int64_t start = 0; ///< The process start of the upstream that answered.
+    Instant requestSentAt;  ///< Lower bound of the answer's time.
+    Instant receivedAt;     ///< Upper bound of the answer's time.
+    bool isReport = false;  ///< The answer was to a report query rather than to a request.
 };
 
-/// The requests a second that an upstream takes from all hosts together, as it states itself.
+/// The rate limit that an upstream states, in requests per second from all hosts together.
 struct StatedLimit
 {
-    double perSecond = 0; ///< 0: none.
+    double perSecond = 0; ///< 0: no limit.
     std::int64_t start = 0;
-    Instant namedAt;          ///< The newest answer that names it.
-    bool isInReports = false; ///< Reports name it too.
-    Instant endedAt; ///< Where it has ended: the call was sent then that was answered without it.
+    Instant statedAt;         ///< Newest answer that states the limit.
+    bool isInReports = false; ///< Reports state the limit too.
+    Instant endedAt; ///< When the limit ended: send time of the call whose answer stated none.
 };
 
-/// How \a limit changed by a word.
+/// How an observation changed a limit.
 enum class LimitChange : std::uint8_t { None, Renewed, Begun, Ended };
 
-/// Takes \a word. A limit ends with an answer that names none, to a call that was sent after the
-/// limit was last named: heads of long streams, and answers that others overtook, are older than
-/// they look.
-LimitChange noteLimit(StatedLimit &limit, const LimitWord &word);
+/// Updates \a limit from \a observation. A limit ends with an answer that states none, to a call
+/// that was sent after the limit was last stated: the headers of long streams, and answers that
+/// others overtook, are older than their time of receipt.
+LimitChange updateLimit(StatedLimit &limit, const LimitObservation &observation);
 
-/// Whether \a limit holds. One that nobody has heard of for long is forgotten: where nothing is
-/// sent, nothing tells of its end.
+/// Whether \a limit is in force. A limit that was not stated for a long time expires: if nothing is
+/// sent to the upstream, no answer can show that the limit has ended.
 bool isInForce(const StatedLimit &limit, Instant now);
 
-/// How long a request waits for its turn under \a limit where others want to be sent too, in
-/// seconds; 0 where no limit is in force, or where a request has to be sent to hear whether one is.
-double waitUnder(const StatedLimit &limit, Instant now);
+/// Expected wait for a permit under \a limit in seconds when other requests compete for it. 0 if no
+/// limit is in force, or if a request has to be sent to find out.
+double expectedLimitWait(const StatedLimit &limit, Instant now);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/upstreams.h
+++ b/packages/gateway/include/azurewell/gateway/upstreams.h
@@ -14,7 +14,7 @@
 
 namespace azurewell::gateway {
 
-/// An adapter of a base model, or the base model itself where `adapter` is empty.
+/// An adapter of a base model, or the base model itself if `adapter` is empty.
 struct ModelName
 {
     std::string model;
@@ -27,7 +27,7 @@
     }
 };
 
-/// An adapter in the memory of an engine.
+/// An adapter that is loaded on an engine.
 struct LoadedAdapter
 {
     ModelName name;
@@ -36,20 +36,20 @@
     auto operator<=>(const LoadedAdapter &) const = default;
 };
 
-/// An adapter that an engine loads.
+/// An adapter that an engine is loading.
 struct LoadingAdapter
 {
     ModelName name;
-    Instant since;             ///< When it was ordered; zero: not known.
-    bool isHeldLately = false; ///< The engine has it in its host's memory.
+    Instant since;             ///< When the load was ordered; zero: unknown.
+    bool isHeldLately = false; ///< The engine has the adapter in its host memory.
 };
 
-/// What an engine holds and does, as it reported or as a host that orders there told.
+/// State of an engine, from its own report or from an update of its coordinator.
 struct EngineState
 {
-    Instant seenAt;                ///< When it was so at the latest; zero: never seen.
+    Instant seenAt;                ///< Latest time at which the state was valid; zero: never seen.
     std::int64_t start = 0;        ///< Changes with each start of the engine.
-    std::uint64_t ordersTaken = 0; ///< Since its start.
+    std::uint64_t ordersTaken = 0; ///< Orders accepted since the engine started.
     bool isOrderUnderWay = false;
     std::vector<std::string> models;
     std::vector<LoadedAdapter> ready;
@@ -62,12 +62,12 @@
         return this->seenAt.micros != 0;
     }
     bool hasModel(const std::string &model) const;
-    /// The adapter if it is ready; null otherwise.
+    /// The adapter if it is ready, null otherwise.
     const LoadedAdapter *findReady(const ModelName &name) const;
     bool isLoading(const ModelName &name) const;
 };
 
-/// An upstream as the platform lists it.
+/// An upstream as listed by the platform.
 struct ListedUpstream
 {
     UpstreamId id;
@@ -76,16 +76,17 @@
     ZoneId zone;
     std::uint32_t slots = 1;
     bool isLeaving = false;
-    Span remaining{};         ///< Of one that leaves at short notice; 0: not stated.
-    std::uint64_t serial = 0; ///< Rises with each entry that it writes in one life.
-    EngineState engine;       ///< As of its last entry; `seenAt` is set by the reader.
+    Span remaining{}; ///< Time until the upstream is terminated, if it leaves at short notice; 0:
+                      ///< not stated.
+    std::uint64_t serial = 0; ///< Increases with each entry of one process of the upstream.
+    EngineState engine;       ///< State in the last entry; `seenAt` is set by the reader.
 };
 
-/// Whether two entries of an upstream say the same, but for the state of its engine, which the host
-/// that orders there tells sooner, and for their count.
+/// Whether two entries of an upstream are equal apart from their serial and the engine's state,
+/// which its coordinator sends sooner.
 bool saysTheSame(const ListedUpstream &a, const ListedUpstream &b);
 
-/// The load that an upstream states in its answers.
+/// Load that an upstream states in its answers.
 struct StatedLoad
 {
     std::uint32_t running = 0;
@@ -93,105 +94,107 @@
     std::uint32_t slots = 0;
 };
 
-/// A load as this host follows it.
-struct LoadUnderWay
+/// A load in progress, as tracked by this host.
+struct LoadInProgress
 {
-    Instant since; ///< When it was ordered, or was first known here.
+    Instant since; ///< When the load was ordered or first seen.
     bool isHeldLately = false;
-    std::uint32_t tries = 0; ///< Requests that were sent for it before a report shows it.
-    Instant triedAt;         ///< The last of them; zero: the engine has turned it away.
-    Instant nextTryAt;
-    bool isDone = false; ///< The engine took such a request.
+    std::uint32_t earlyAttempts = 0; ///< Requests sent before a report shows it as done.
+    Instant earlyAttemptAt; ///< When the last of them was sent; zero: the engine rejected it.
+    Instant nextEarlyAttemptAt;
+    bool isDone = false; ///< The engine accepted such a request.
     std::uint64_t version = 0;
 };
 
-/// A sum whose parts count less and less as they grow old.
+/// A sum whose samples decay exponentially.
 struct DecayedSum
 {
     double value = 0;
     Instant at;
 };
 
-/// Prompt tokens sent to an engine count down to a third in this time: about what its prompts of
-/// the last moments still keep it from the next step of its batch.
+/// Decay time (to 1/e) of the prompt tokens sent to an engine: about the time for which recent
+/// prompts delay the next step of its batch.
 inline constexpr Span promptLife = std::chrono::milliseconds(400);
 
-/// What is left of \a sum, of which a third is left after \a life.
-double valueAt(const DecayedSum &sum, Span life, Instant now);
+/// The value of \a sum at \a now; it decays to 1/e within \a decayTime.
+double valueAt(const DecayedSum &sum, Span decayTime, Instant now);
 
-void add(DecayedSum &sum, double value, Span life, Instant now);
+void add(DecayedSum &sum, double value, Span decayTime, Instant now);
 
-/// An upstream and what this host knows of it.
+/// An upstream and what this host knows about it.
 struct Upstream
 {
     ListedUpstream listed;
-    Instant usableUntil; ///< Gone or leaving: nothing new is sent after this; `never` otherwise.
-    Instant killedAt;    ///< It is switched off then, whatever runs; `never` otherwise.
+    Instant usableUntil; ///< If removed or leaving, no new requests are sent after this time;
+                         ///< otherwise `never`.
+    Instant killedAt; ///< When the upstream is terminated, whatever still runs; otherwise `never`.
     EngineState engine;
-    std::map<ModelName, LoadUnderWay> loads;
-    HostId toldBy; ///< The host whose news of it came last: it orders there, as far as it knows.
+    std::map<ModelName, LoadInProgress> loads;
+    HostId toldBy; ///< Sender of the last update on the engine, presumably its coordinator.
     Instant toldAt;
 
     StatedLoad load;
     Instant loadAt;
     StatedLimit limit;
-    std::uint32_t underWay = 0;                ///< Requests of this host that it has now.
-    DecayedSum ownPrompts;                     ///< Prompt tokens that this host sent.
-    std::map<HostId, DecayedSum> otherPrompts; ///< What the others told of theirs.
+    std::uint32_t underWay = 0;                ///< Requests of this host in progress there.
+    DecayedSum ownPrompts;                     ///< Prompt tokens sent by this host.
+    std::map<HostId, DecayedSum> otherPrompts; ///< Prompt tokens sent by other hosts.
     std::uint32_t failuresInARow = 0;
-    std::int64_t reported = 0; ///< The life that it stated itself, or that a host told of.
-    Instant reportedAt;        ///< It lived at this time, in that life.
-    Instant avoidedUntil;      ///< It failed: others are tried first until then.
-    double failureShare = 0;   ///< Moving average of the share of requests that failed.
+    std::int64_t reported = 0; ///< Process start that the upstream, or a host, last reported.
+    Instant reportedAt;        ///< Latest time at which that process was known to run.
+    Instant avoidedUntil;      ///< After failures, other upstreams are preferred until then.
+    double failureRate = 0;    ///< Moving average of the share of failed requests.
 };
 
 inline constexpr Instant never{ std::numeric_limits<std::int64_t>::max() };
 
 using UpstreamMap = std::map<UpstreamId, Upstream>;
 
-/// Where each adapter was held last. An engine keeps what it unloaded in the memory of its host,
-/// and loads it ten times as fast as another one, without the weight store.
-struct LastHolders
+/// The engine that last held each adapter. An engine keeps unloaded adapters in its host memory and
+/// loads them from there ten times as fast as others, without the weight store.
+struct LastEngines
 {
-    struct Holder
+    struct Entry
     {
         UpstreamId engine;
-        std::uint64_t serial = 0; ///< In `adapters`.
+        std::uint64_t serial = 0; ///< Key in `adapters`.
     };
-    std::map<ModelName, Holder> holders;
-    std::map<std::uint64_t, ModelName> adapters; ///< Those that were held longest ago first.
+    std::map<ModelName, Entry> entries;
+    std::map<std::uint64_t, ModelName> adapters; ///< By age, oldest first.
     std::uint64_t nextSerial = 1;
 };
 
-/// Adapters whose last holder is remembered: some 30 for each engine of a fleet of a hundred.
-inline constexpr std::size_t mostLastHolders = 3000;
+/// Maximum number of remembered adapters: some 30 for each engine of a fleet of a hundred.
+inline constexpr std::size_t maxLastEngines = 3000;
 
-/// Takes over \a state. Reports are some 200 ms old, so that they show as loading what has taken
-/// requests since; that stays ready.
-void setEngine(Upstream &upstream, EngineState state, LastHolders &lastHolders, Instant now);
+/// Replaces the state of the engine by \a state. Reports are some 200 ms old and may show an
+/// adapter as loading that has accepted requests since; such an adapter stays ready.
+void setEngine(Upstream &upstream, EngineState state, LastEngines &lastHolders, Instant now);
 
-/// Adapters in the memory of \a engine are gone from it.
-void noteHolder(LastHolders &lastHolders, const ModelName &adapter, const UpstreamId &engine);
+/// Records that \a adapter was unloaded from \a engine.
+void recordLastEngine(LastEngines &lastHolders, const ModelName &adapter, const UpstreamId &engine);
 
-/// The engine that held \a adapter last; null where it is not known.
-const UpstreamId *findHolder(const LastHolders &lastHolders, const ModelName &adapter);
+/// The engine that last held \a adapter; null if unknown.
+const UpstreamId *findLastEngine(const LastEngines &lastHolders, const ModelName &adapter);
 
-/// A load of \a adapter was ordered.
+/// Records that a load of \a adapter was ordered.
 void beginLoad(Upstream &upstream, const ModelName &adapter, bool isHeldLately, Instant now);
 
-/// The engine has taken a request for an adapter that it loaded: all that wait for it may go.
-void noteLoadDone(Upstream &upstream, const ModelName &adapter);
+/// Records that the engine accepted a request for an adapter that a report still shows as loading.
+/// The other requests that wait for the adapter may be sent.
+void recordLoadDone(Upstream &upstream, const ModelName &adapter);
 
 /// Whether new requests may be sent to \a upstream.
 bool isUsable(const Upstream &upstream, Instant now);
 
-/// How an exchange with an upstream ended, as far as its health is concerned.
-enum class UpstreamSign : std::uint8_t {
-    Answered, ///< A whole answer that shows no fault.
-    Failed,   ///< No answer, a broken one, or one that says that the upstream itself failed.
+/// What the outcome of an attempt says about the health of an upstream.
+enum class HealthSignal : std::uint8_t {
+    Answered, ///< A complete answer that states no fault.
+    Failed,   ///< No answer, a broken one, or one that states a fault of the upstream itself.
     Unreachable,
 };
 
-void noteSign(Upstream &upstream, UpstreamSign sign, Instant now);
+void recordHealth(Upstream &upstream, HealthSignal signal, Instant now);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/adapter_uses.cpp
+++ b/packages/gateway/src/adapter_uses.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// A word of another host holds until its next heartbeat, and the one after if that is lost.
-constexpr double heartbeatsOfWord = 2.2;
+/// A report of another host is valid until its second next heartbeat, so that one lost message does
+/// no harm.
+constexpr double useValidityHeartbeats = 2.2;
 
 } // namespace
 
@@ -27,25 +28,25 @@
 
 std::vector<AdapterUse> takeUntold(OwnUses &uses, const UpstreamId &engine)
 {
-    std::vector<AdapterUse> told;
+    std::vector<AdapterUse> reported;
     for (auto place = uses.lower_bound({ engine, {} });
          place != uses.end() && place->first.first == engine;) {
         OwnUse &use = place->second;
         const bool isRunning = use.running > 0;
         if (isRunning || use.begun > 0 || use.isTold)
-            told.push_back({ engine, place->first.second, isRunning, use.begun });
+            reported.push_back({ engine, place->first.second, isRunning, use.begun });
         use.begun = 0;
         use.isTold = isRunning;
         place = isRunning ? std::next(place) : uses.erase(place);
     }
-    return told;
+    return reported;
 }
 
 void noteOtherUse(OtherUses &uses, const AdapterRef &adapter, const HostId &host, bool isRunning,
-                  Span toldEvery, Instant now)
+                  Span reportInterval, Instant now)
 {
     if (isRunning)
-        uses[adapter][host] = now + fromSeconds(toSeconds(toldEvery) * heartbeatsOfWord);
+        uses[adapter][host] = now + fromSeconds(toSeconds(reportInterval) * useValidityHeartbeats);
     else if (const auto found = uses.find(adapter); found != uses.end())
         found->second.erase(host);
 }
--- a/packages/gateway/src/configuration.cpp
+++ b/packages/gateway/src/configuration.cpp
@@ -43,16 +43,16 @@
 const ServiceId *pickService(const Route &route, double draw)
 {
     double total = 0;
-    for (const WeightedService &part : route.services)
-        total += part.weight;
-    double left = draw * total;
+    for (const WeightedService &weighted : route.services)
+        total += weighted.weight;
+    double remaining = draw * total;
     const ServiceId *last = nullptr;
-    for (const WeightedService &part : route.services) {
-        if (part.weight <= 0)
+    for (const WeightedService &weighted : route.services) {
+        if (weighted.weight <= 0)
             continue;
-        last = &part.service;
-        left -= part.weight;
-        if (left < 0)
+        last = &weighted.service;
+        remaining -= weighted.weight;
+        if (remaining < 0)
             break;
     }
     return last;
--- a/packages/gateway/src/engine_orders.cpp
+++ b/packages/gateway/src/engine_orders.cpp
@@ -6,54 +6,53 @@
 
 namespace {
 
-/// The first report after a load was ordered is asked for so much later: engines answer as of 100
-/// ms ago.
-constexpr Span firstLookAfterLoad = std::chrono::milliseconds(130);
+/// Time from a load order to the first report query: answers of engines are 100 ms old.
+constexpr Span firstReportDelay = std::chrono::milliseconds(130);
 
-/// A base model whose order was taken is ordered again after this time if it is not there: longer
-/// than a few loads that share the weight store.
-constexpr Span baseLoadPatience = std::chrono::seconds(12);
+/// An accepted base model load is ordered again after this time if the model is still missing.
+/// Longer than a few loads that share the weight store.
+constexpr Span baseLoadTimeout = std::chrono::seconds(12);
 
-/// The same after an order that was refused, and after one that was not answered: by then reports
-/// show whether the engine carries it out.
-constexpr Span refusedBasePause = std::chrono::milliseconds(500);
-constexpr Span unansweredBasePause = std::chrono::seconds(2);
+/// Delay before a base model load is ordered again after a refusal, and after an order that was not
+/// answered: by then reports show whether the engine carries it out.
+constexpr Span refusedBaseLoadDelay = std::chrono::milliseconds(500);
+constexpr Span unansweredBaseLoadDelay = std::chrono::seconds(2);
 
-/// Transfers of adapters to one engine at a time.
-constexpr std::uint32_t mostLoadsUnderWay = 4;
+/// Concurrent adapter loads at one engine.
+constexpr std::uint32_t maxLoadsInProgress = 4;
 
-/// Adapters that an engine keeps in its host's memory after they were unloaded; 30 as deployments
-/// state it, less some for loads that were ordered by others.
-constexpr std::size_t mostHeldLately = 24;
+/// Adapters that an engine is assumed to keep in its host memory after an unload. Deployments state
+/// 30; the rest allows for loads ordered by other hosts.
+constexpr std::size_t maxAdaptersInHostMemory = 24;
 
-void noteHeld(OrderedEngine &engine, const AdapterRef &ref)
+void recordInHostMemory(OrderedEngine &engine, const AdapterRef &ref)
 {
-    std::erase(engine.heldLately, ref);
-    engine.heldLately.push_front(ref);
-    if (engine.heldLately.size() > mostHeldLately)
-        engine.heldLately.pop_back();
+    std::erase(engine.adaptersInHostMemory, ref);
+    engine.adaptersInHostMemory.push_front(ref);
+    if (engine.adaptersInHostMemory.size() > maxAdaptersInHostMemory)
+        engine.adaptersInHostMemory.pop_back();
 }
 
-FencingNumber nextFencing(const GatewayState &state, std::uint64_t wallMillis)
+FencingNumber nextFencingNumber(const GatewayState &state, std::uint64_t wallMillis)
 {
-    // The low part keeps the numbers of two hosts apart that begin in the same millisecond.
-    constexpr std::uint64_t hostsApart = 1024;
-    const std::uint64_t highest = state.highestFencing.value / hostsApart + 1;
-    const std::uint64_t host = std::hash<std::string>{}(state.self.id.value) % hostsApart;
-    return FencingNumber{ std::max(wallMillis, highest) * hostsApart + host };
+    // The low part distinguishes hosts that start to order in the same millisecond.
+    constexpr std::uint64_t hostSuffixes = 1024;
+    const std::uint64_t highest = state.highestFencing.value / hostSuffixes + 1;
+    const std::uint64_t host = std::hash<std::string>{}(state.self.id.value) % hostSuffixes;
+    return FencingNumber{ std::max(wallMillis, highest) * hostSuffixes + host };
 }
 
-void order(GatewayState &state, Upstream &upstream, OrderedEngine &engine, const ModelName &model,
-           bool isLoad, Actions &actions)
+void issueOrder(GatewayState &state, Upstream &upstream, OrderedEngine &engine,
+                const ModelName &model, bool isLoad, Actions &actions)
 {
-    engine.orderOnItsWay = model;
+    engine.pendingOrder = model;
     state.highestFencing = std::max(state.highestFencing, engine.rights.fencing);
     const std::uint64_t version = isLoad ? declaredVersion(state.versions, model) : 0;
     actions.orders.push_back({ upstream.listed.id, upstream.listed.address, isLoad, model, version,
                                engine.rights.fencing });
 }
 
-/// Orders the base model of an engine that has started empty. True where an order was given.
+/// Orders the base model load of an engine that started empty. Returns whether an order was given.
 bool orderBase(GatewayState &state, Upstream &upstream, OrderedEngine &engine,
                const EngineLimits &limits, Instant now, Actions &actions)
 {
@@ -61,33 +60,33 @@
         return false;
     if (now < engine.nextBaseOrderAt)
         return false;
-    engine.nextBaseOrderAt = now + baseLoadPatience;
+    engine.nextBaseOrderAt = now + baseLoadTimeout;
     ++state.counters.baseLoadsOrdered;
-    order(state, upstream, engine, { limits.models.front().name, {} }, true, actions);
+    issueOrder(state, upstream, engine, { limits.models.front().name, {} }, true, actions);
     return true;
 }
 
-/// Unloads an adapter; from here on no request is sent to it.
+/// Orders an unload; no further requests are sent to the adapter.
 void orderUnload(GatewayState &state, Upstream &upstream, OrderedEngine &engine,
                  const ModelName &adapter, Instant now, Actions &actions)
 {
     const AdapterRef ref = refOf(adapter);
-    move(state, engine, ref, AdapterEvent::UnloadOrdered, now);
+    applyAdapterEvent(state, engine, ref, AdapterEvent::UnloadOrdered, now);
     engine.unloadedAt[ref] = now;
     std::erase_if(upstream.engine.ready,
                   [&](const LoadedAdapter &loaded) { return loaded.name == adapter; });
     upstream.loads.erase(adapter);
-    noteHolder(state.lastHolders, adapter, upstream.listed.id);
+    recordLastEngine(state.lastHolders, adapter, upstream.listed.id);
     state.changedEngines.insert(upstream.listed.id);
     ++state.counters.unloadsOrdered;
-    order(state, upstream, engine, adapter, false, actions);
+    issueOrder(state, upstream, engine, adapter, false, actions);
 }
 
-/// An adapter in an older version than the declared one is unloaded; requests that come for it have
-/// it loaded anew. A load in its place would need a second place while the old version still runs,
-/// and an engine that is ordered to hold more than it can crashes.
-bool orderOutdatedGone(GatewayState &state, Upstream &upstream, OrderedEngine &engine, Instant now,
-                       Actions &actions)
+/// Unloads an adapter that is older than its declared version; the next request for it triggers a
+/// new load. Loading the new version first would need a second slot while the old version is in
+/// use, and an engine that is ordered to hold more adapters than it has slots crashes.
+bool unloadOutdated(GatewayState &state, Upstream &upstream, OrderedEngine &engine, Instant now,
+                    Actions &actions)
 {
     for (const LoadedAdapter &adapter : upstream.engine.ready) {
         const auto declared = state.versions.find(adapter.name);
@@ -102,28 +101,28 @@
     return false;
 }
 
-/// Carries out the oldest wanted load: evicts where there is no place, loads where there is one.
+/// Orders a load of \a adapter.
 void orderLoad(GatewayState &state, Upstream &upstream, OrderedEngine &engine,
                const ModelName &adapter, Instant now, Actions &actions)
 {
     const AdapterRef ref = refOf(adapter);
-    move(state, engine, ref, AdapterEvent::LoadOrdered, now);
+    applyAdapterEvent(state, engine, ref, AdapterEvent::LoadOrdered, now);
     beginLoad(upstream, adapter, isHeldLately(engine, ref), now);
-    noteHeld(engine, ref);
-    // In a large fleet that a load began is told with what comes next: its end matters more.
+    recordInHostMemory(engine, ref);
+    // In a large fleet the start of a load is sent with the next update: its end matters more.
     if (isSmallFleet(state))
         state.changedEngines.insert(upstream.listed.id);
     ++state.counters.loadsOrdered;
-    order(state, upstream, engine, adapter, true, actions);
+    issueOrder(state, upstream, engine, adapter, true, actions);
 }
 
-void orderWanted(GatewayState &state, Upstream &upstream, OrderedEngine &engine, Instant now,
-                 Actions &actions)
+void orderNextWanted(GatewayState &state, Upstream &upstream, OrderedEngine &engine, Instant now,
+                     Actions &actions)
 {
     std::erase_if(engine.wanted, [&](const ModelName &wanted) {
         return !isOrderable(engine.adapters, refOf(wanted), now);
     });
-    if (loadsUnderWay(engine.adapters) >= mostLoadsUnderWay)
+    if (loadsUnderWay(engine.adapters) >= maxLoadsInProgress)
         return;
     const bool isFull = isStoreFull(state, now);
     const UpstreamId &id = upstream.listed.id;
@@ -143,8 +142,9 @@
     }
 }
 
-/// An order was taken at the latest when its answer came, or was given up.
-void noteAnswered(OrderedEngine &engine, const AdapterRef &ref, Instant now)
+/// Moves the time of an order to that of its answer or timeout, the latest time at which the engine
+/// can have accepted it.
+void updateOrderTime(OrderedEngine &engine, const AdapterRef &ref, Instant now)
 {
     const auto adapter = engine.adapters.adapters.find(ref);
     if (adapter != engine.adapters.adapters.end() && adapter->second.state == AdapterState::Loading)
@@ -154,24 +154,25 @@
         unloaded->second = now;
 }
 
-/// Tells the log of an order that was refused or not answered.
-void noteNotTaken(const OrderEnded &event, Actions &actions)
+/// Logs an order that was refused or not answered.
+void logOrderNotTaken(const OrderEnded &event, Actions &actions)
 {
     if (event.outcome != OrderOutcome::Refused && event.outcome != OrderOutcome::Unknown)
         return;
-    actions.notes.push_back({ "order_not_taken",
+    actions.notes.push_back({ "engine_order_not_accepted",
                               { { "engine", event.engine.value },
                                 { "model", refOf(event.model).value },
                                 { "load", event.isLoad ? "true" : "false" } } });
 }
 
-void noteBaseAnswer(OrderedEngine &engine, const OrderEnded &event, Instant now, Actions &actions)
+void handleBaseLoadAnswer(OrderedEngine &engine, const OrderEnded &event, Instant now,
+                          Actions &actions)
 {
-    noteNotTaken(event, actions);
+    logOrderNotTaken(event, actions);
     if (event.outcome == OrderOutcome::Refused)
-        engine.nextBaseOrderAt = now + refusedBasePause;
+        engine.nextBaseOrderAt = now + refusedBaseLoadDelay;
     else if (event.outcome == OrderOutcome::Unknown)
-        engine.nextBaseOrderAt = now + unansweredBasePause;
+        engine.nextBaseOrderAt = now + unansweredBaseLoadDelay;
 }
 
 } // namespace
@@ -180,56 +181,56 @@
                 std::uint64_t wallMillis, Instant now, Actions &actions)
 {
     const EngineLimits *limits = limitsOf(state, upstream);
-    if (!limits || isStopping(state) || engine.orderOnItsWay)
+    if (!limits || isStopping(state) || engine.pendingOrder)
         return;
     const OrderStart start{ state.self.isFirstStart, state.startedAt };
     const bool isWanted = !engine.wanted.empty() || upstream.engine.models.empty();
-    const bool wasHolding = engine.rights.isHolding;
-    if (!mayOrder(engine.rights, upstream, state.members, start, nextFencing(state, wallMillis),
-                  now))
+    const bool wasCoordinating = engine.rights.isHolding;
+    if (!mayOrder(engine.rights, upstream, state.members, start,
+                  nextFencingNumber(state, wallMillis), now))
         return;
-    if (!wasHolding) {
-        actions.notes.push_back({ "orders_begin",
+    if (!wasCoordinating) {
+        actions.notes.push_back({ "engine_ordering_started",
                                   { { "engine", upstream.listed.id.value },
                                     { "fencing", std::to_string(engine.rights.fencing.value) } } });
     }
     if (isWanted && orderBase(state, upstream, engine, *limits, now, actions))
         return;
-    if (orderOutdatedGone(state, upstream, engine, now, actions))
+    if (unloadOutdated(state, upstream, engine, now, actions))
         return;
-    orderWanted(state, upstream, engine, now, actions);
+    orderNextWanted(state, upstream, engine, now, actions);
 }
 
 void handle(GatewayState &state, const OrderEnded &event, Instant now, Actions &actions)
 {
     OrderedEngine &engine = state.engines[event.engine];
-    engine.orderOnItsWay.reset();
+    engine.pendingOrder.reset();
     wakeEngine(state, event.engine);
     const auto upstream = state.upstreams.find(event.engine);
     if (event.outcome == OrderOutcome::Taken
         || (event.outcome == OrderOutcome::HeldAlready && !event.isLoad))
         noteOrderTaken(engine.rights, event.sentAt);
     if (event.model.isBase()) {
-        noteBaseAnswer(engine, event, now, actions);
+        handleBaseLoadAnswer(engine, event, now, actions);
         return;
     }
     const AdapterRef ref = refOf(event.model);
-    const AdapterState was = stateOf(engine, ref);
-    noteAnswered(engine, ref, now);
+    const AdapterState previousState = stateOf(engine, ref);
+    updateOrderTime(engine, ref, now);
     const bool isDone = event.outcome == OrderOutcome::HeldAlready;
     if (event.isLoad) {
-        if (event.outcome == OrderOutcome::Refused && was == AdapterState::Loading) {
-            move(state, engine, ref, AdapterEvent::LoadFailed, now);
+        if (event.outcome == OrderOutcome::Refused && previousState == AdapterState::Loading) {
+            applyAdapterEvent(state, engine, ref, AdapterEvent::LoadFailed, now);
             backOff(engine.adapters, ref, draw(state), now);
         }
-        engine.nextReportAt = std::min(engine.nextReportAt, now + firstLookAfterLoad);
-    } else if (isDone && was == AdapterState::Unloading) {
-        move(state, engine, ref, AdapterEvent::UnloadDone, now);
-    } else if (event.outcome == OrderOutcome::Refused && was == AdapterState::Unloading) {
-        move(state, engine, ref, AdapterEvent::UnloadFailed, now);
+        engine.nextReportAt = std::min(engine.nextReportAt, now + firstReportDelay);
+    } else if (isDone && previousState == AdapterState::Unloading) {
+        applyAdapterEvent(state, engine, ref, AdapterEvent::UnloadDone, now);
+    } else if (event.outcome == OrderOutcome::Refused && previousState == AdapterState::Unloading) {
+        applyAdapterEvent(state, engine, ref, AdapterEvent::UnloadFailed, now);
         engine.unloadedAt.erase(ref);
     }
-    noteNotTaken(event, actions);
+    logOrderNotTaken(event, actions);
     if (upstream != state.upstreams.end() && engine.rights.isHolding && isDone)
         giveOrders(state, upstream->second, engine, 0, now, actions);
 }
--- a/packages/gateway/src/engines.cpp
+++ b/packages/gateway/src/engines.cpp
@@ -7,74 +7,74 @@
 
 namespace {
 
-/// A load that does not show up in reports within this time has failed.
-constexpr Span longestLoad = std::chrono::seconds(6);
+/// A load that reports do not show within this time has failed.
+constexpr Span loadTimeout = std::chrono::seconds(6);
 
-/// Requests for an adapter count half after this time: demand moves within seconds.
+/// Half-life of request counts of an adapter: demand shifts within seconds.
 constexpr Span popularityHalfLife = std::chrono::seconds(5);
 
-/// Loads that wait at one engine until an adapter there is idle; requests run for 0.3 s and more,
-/// so that one place or another is free within a moment.
-constexpr std::size_t mostWaitingForPlace = 2;
+/// Maximum number of loads that wait at an engine for an idle adapter to evict. Requests run for
+/// 0.3 s and more, so that a slot is free within a short time.
+constexpr std::size_t maxWaitingForSlot = 2;
 
-/// A load is kept so long for requests that asked for it, until it is done.
-constexpr Span longestAwait = std::chrono::seconds(2);
+/// How long an adapter is kept for the requests that asked for its load, until the load is done.
+constexpr Span awaitedLoadTimeout = std::chrono::seconds(2);
 
-/// An engine at which this host orders is looked at this often though nothing is due there.
-constexpr Span longestBetweenLooks = std::chrono::seconds(1);
+/// Maximum time between two polls of an engine that this host coordinates.
+constexpr Span maxPollInterval = std::chrono::seconds(1);
 
-/// When reports show at the latest what became of an unload that was ordered at \a ordered.
-Instant unloadShownAt(const OrderedEngine &engine, const AdapterRef &adapter, Instant ordered)
+/// When a report must show the effect of an unload that was ordered at \a ordered.
+Instant unloadReportedAt(const OrderedEngine &engine, const AdapterRef &adapter, Instant ordered)
 {
     const bool isGone = stateOf(engine, adapter) != AdapterState::Unloading;
-    return ordered + (isGone ? reportLag : longestLoad);
+    return ordered + (isGone ? reportLag : loadTimeout);
 }
 
-/// Unload orders that reports must show by now are forgotten.
-void endUnloads(OrderedEngine &engine, Instant now)
+/// Removes unload orders whose effect reports must show by now.
+void expireUnloads(OrderedEngine &engine, Instant now)
 {
     std::erase_if(engine.unloadedAt, [&](const auto &entry) {
-        return now >= unloadShownAt(engine, entry.first, entry.second);
+        return now >= unloadReportedAt(engine, entry.first, entry.second);
     });
 }
 
-/// Whether this host, which orders at \a engine, has something to do there at each tick.
+/// Whether this host, the coordinator of \a engine, has work to do there at each tick.
 bool hasWork(const Upstream &upstream, const OrderedEngine &engine)
 {
     return !engine.rights.isHolding || !engine.wanted.empty() || upstream.engine.models.empty();
 }
 
-/// When something is due at an engine, if nothing happens there before.
-Instant nextLookAt(const GatewayState &state, const Upstream &upstream, const OrderedEngine &engine,
+/// When an engine has to be polled next, unless an event there comes first.
+Instant nextPollAt(const GatewayState &state, const Upstream &upstream, const OrderedEngine &engine,
                    bool isOwn, Instant now)
 {
     if (isOwn && hasWork(upstream, engine))
         return now + tickInterval;
     Instant next = reportDueAt(state, upstream, engine, isOwn);
     if (isOwn)
-        next = std::min(next, now + longestBetweenLooks);
+        next = std::min(next, now + maxPollInterval);
     if (upstream.usableUntil > now)
         next = std::min(next, upstream.usableUntil);
     for (const auto &[adapter, at] : engine.unloadedAt)
-        next = std::min(next, unloadShownAt(engine, adapter, at));
+        next = std::min(next, unloadReportedAt(engine, adapter, at));
     return std::max(next, now + tickInterval);
 }
 
-void runEngine(GatewayState &state, Upstream &upstream, std::uint64_t wallMillis, Instant now,
-               Actions &actions)
+void pollEngine(GatewayState &state, Upstream &upstream, std::uint64_t wallMillis, Instant now,
+                Actions &actions)
 {
     ++state.counters.engineLooks;
     const UpstreamId &id = upstream.listed.id;
     const EngineLimits *limits = limitsOf(state, upstream);
     if (!limits || now >= upstream.usableUntil) {
         state.ownEngines.erase(id);
-        state.engineLooks.bringForward(id, now + longestBetweenLooks);
+        state.engineLooks.bringForward(id, now + maxPollInterval);
         return;
     }
     OrderedEngine &engine = state.engines[id];
     engine.adapters.slots = limits->adapterPlaces;
     engine.adapters.popularityHalfLife = popularityHalfLife;
-    endUnloads(engine, now);
+    expireUnloads(engine, now);
     const bool isOwn = isOwnEngine(state, upstream, now);
     askReport(state, upstream, engine, isOwn, now, actions);
     if (isOwn) {
@@ -84,7 +84,7 @@
         state.ownEngines.erase(id);
         engine.wanted.clear();
     }
-    state.engineLooks.bringForward(id, nextLookAt(state, upstream, engine, isOwn, now));
+    state.engineLooks.bringForward(id, nextPollAt(state, upstream, engine, isOwn, now));
 }
 
 } // namespace
@@ -97,8 +97,8 @@
 
 bool isHeldLately(const OrderedEngine &engine, const AdapterRef &ref)
 {
-    return std::find(engine.heldLately.begin(), engine.heldLately.end(), ref)
-            != engine.heldLately.end();
+    return std::find(engine.adaptersInHostMemory.begin(), engine.adaptersInHostMemory.end(), ref)
+            != engine.adaptersInHostMemory.end();
 }
 
 bool isUsed(const GatewayState &state, const OrderedEngine &engine, const UpstreamId &id,
@@ -123,8 +123,8 @@
     return found == engine.adapters.adapters.end() ? AdapterState::Absent : found->second.state;
 }
 
-void move(const GatewayState &state, OrderedEngine &engine, const AdapterRef &ref,
-          AdapterEvent event, Instant now)
+void applyAdapterEvent(const GatewayState &state, OrderedEngine &engine, const AdapterRef &ref,
+                       AdapterEvent event, Instant now)
 {
     applyEvent(engine.adapters, state.charts.adapter, ref, event, now);
 }
@@ -134,7 +134,7 @@
     return AdapterRef{ name.model + "/" + name.adapter };
 }
 
-void noteUse(GatewayState &state, const UpstreamId &engine, const ModelName &adapter, Instant now)
+void recordUse(GatewayState &state, const UpstreamId &engine, const ModelName &adapter, Instant now)
 {
     beginUse(state.ownUses, { engine, adapter });
     OrderedEngine &ordered = state.engines[engine];
@@ -151,27 +151,27 @@
     const bool isOwn = upstream != state.upstreams.end()
             && isOwnEngine(state, upstream->second, now);
     const AdapterRef ref = refOf(request.adapter);
-    const AdapterState known = stateOf(engine, ref);
+    const AdapterState adapterState = stateOf(engine, ref);
     if (isOwn)
         engine.awaitedUntil[ref] = now
-                + (known == AdapterState::Loaded ? takenWithin : longestAwait);
-    if (isOwn && (known == AdapterState::Loading || known == AdapterState::Loaded))
+                + (adapterState == AdapterState::Loaded ? firstUseTimeout : awaitedLoadTimeout);
+    if (isOwn && (adapterState == AdapterState::Loading || adapterState == AdapterState::Loaded))
         return LoadProspect::Coming;
-    const bool isListed = std::find(engine.wanted.begin(), engine.wanted.end(), request.adapter)
+    const bool isQueued = std::find(engine.wanted.begin(), engine.wanted.end(), request.adapter)
             != engine.wanted.end();
-    if (isListed)
+    if (isQueued)
         return LoadProspect::Coming;
     if (!isOwn || !engine.rights.isHolding)
-        return LoadProspect::NotHere;
-    const bool isQuick = isHeldLately(engine, ref);
-    const bool isStoreBusy = !isQuick && isStoreFull(state, now)
+        return LoadProspect::Unavailable;
+    const bool isInMemory = isHeldLately(engine, ref);
+    const bool isStoreBusy = !isInMemory && isStoreFull(state, now)
             && isStoreQueueFull(state, request.adapter.model);
     const PlacementStep step = makeRoom(engine.adapters, now, [&](const AdapterRef &held) {
         return isUsed(state, engine, request.engine, held, now);
     });
-    const bool hasRoom = step.kind != PlacementStep::Kind::Nothing;
-    if (!hasRoom && engine.wanted.size() >= mostWaitingForPlace)
-        return LoadProspect::NotHere;
+    const bool hasSlot = step.kind != PlacementStep::Kind::Nothing;
+    if (!hasSlot && engine.wanted.size() >= maxWaitingForSlot)
+        return LoadProspect::Unavailable;
     if (isStoreBusy)
         return LoadProspect::StoreBusy;
     engine.wanted.push_back(request.adapter);
@@ -190,9 +190,9 @@
         wakeEngine(state, id);
 }
 
-void runEngines(GatewayState &state, std::uint64_t wallMillis, Instant now, Actions &actions)
+void pollEngines(GatewayState &state, std::uint64_t wallMillis, Instant now, Actions &actions)
 {
-    if (std::exchange(state.engineLooksGeneration, state.members.generation)
+    if (std::exchange(state.enginePollsGeneration, state.members.generation)
         != state.members.generation)
         wakeEngines(state);
     std::vector<UpstreamId> due;
@@ -201,7 +201,7 @@
     for (const UpstreamId &id : due) {
         const auto found = state.upstreams.find(id);
         if (found != state.upstreams.end())
-            runEngine(state, found->second, wallMillis, now, actions);
+            pollEngine(state, found->second, wallMillis, now, actions);
     }
 }
 
--- a/packages/gateway/src/gateway.cpp
+++ b/packages/gateway/src/gateway.cpp
@@ -9,39 +9,39 @@
 
 namespace {
 
-/// An upstream that is gone is forgotten when nothing can run there any more.
-constexpr Span rememberedFor = std::chrono::seconds(10);
+/// A removed upstream is kept for this time, until nothing can be running there any more.
+constexpr Span removalRetention = std::chrono::seconds(10);
 
-constexpr Span forgetInterval = std::chrono::milliseconds(250);
+constexpr Span removalCheckInterval = std::chrono::milliseconds(250);
 
-/// An upstream whose entry goes away without notice serves on for 2 s; for half of that it is still
-/// used, since entries may go away for a moment.
-constexpr Span usedAfterRemoval = std::chrono::milliseconds(800);
+/// An upstream whose entry is removed without notice serves for another 2 s. It is used for about
+/// half of that, as entries can disappear for a moment.
+constexpr Span removalGrace = std::chrono::milliseconds(800);
 
-/// While the platform was out of reach, entries lapse of upstreams that live, and come back within
-/// about 2 s of its return. It may have turned away this host alone, and the entry be gone for
-/// good: then the upstream must get nothing new 2 s after that, of which half a second can have
-/// passed.
-constexpr Span usedAfterLapse = std::chrono::milliseconds(1200);
-constexpr Span lapsesFor = std::chrono::seconds(4);
+/// During an outage of the platform, entries of live upstreams expire; they come back within about
+/// 2 s of its return. The platform may also have rejected only this host, with the entry gone for
+/// good. In that case no new requests may be sent 2 s after the removal, of which half a second may
+/// have passed already.
+constexpr Span outageRemovalGrace = std::chrono::milliseconds(1200);
+constexpr Span outageRecoveryTime = std::chrono::seconds(4);
 
-/// Hosts of a zone that read what the platform publishes: two may be lost or cut off, and nobody
-/// have noticed yet.
-constexpr std::size_t readersOfZone = 3;
+/// Hosts of a zone that read published state from the platform: two of them may be lost or
+/// unreachable before this is noticed.
+constexpr std::size_t readersPerZone = 3;
 constexpr std::string_view readersKey = "readers of the platform";
 
-/// A host that the others have not told what they know within this time reads for itself: they may
-/// not know all that it lacks.
-constexpr Span readsItselfAfter = std::chrono::milliseconds(600);
+/// A host that lacks published changes for this time reads them from the platform itself, as the
+/// hosts that send them may not have all of them.
+constexpr Span fallbackReadDelay = std::chrono::milliseconds(600);
 
-bool isLeftBehind(const GatewayState &state, Instant now)
+bool isLagging(const GatewayState &state, Instant now)
 {
     return state.behind.upTo > state.published.revision
-            && now - state.behind.since >= readsItselfAfter;
+            && now - state.behind.since >= fallbackReadDelay;
 }
 
-/// Whether \a entry was written before \a known. An entry can be held up on its way and arrive
-/// after a later one: an upstream that has said that it leaves would get new requests again.
+/// Whether \a entry was written before \a known. Entries can arrive out of order; a late one could
+/// make a leaving upstream get new requests again.
 bool isOutdated(const ListedUpstream &known, const ListedUpstream &entry)
 {
     if (entry.engine.start != known.engine.start)
@@ -49,8 +49,8 @@
     return entry.serial < known.serial || (known.isLeaving && !entry.isLeaving);
 }
 
-/// Loads that nobody waits for any more are forgotten.
-void dropAwaited(GatewayState &state)
+/// Removes finished loads that no request waits for.
+void dropUnneededLoads(GatewayState &state)
 {
     std::set<ModelName> wanted;
     for (const RequestNumber &request : state.waiting)
@@ -63,28 +63,28 @@
     });
 }
 
-/// Upstreams that are gone, and what is kept for them.
-void forgetGone(GatewayState &state, Instant now)
+/// Removes upstreams that are gone, with the state that belongs to them.
+void removeExpiredUpstreams(GatewayState &state, Instant now)
 {
-    if (now < state.nextForgetAt)
+    if (now < state.nextRemovalCheckAt)
         return;
-    state.nextForgetAt = now + forgetInterval;
+    state.nextRemovalCheckAt = now + removalCheckInterval;
     std::erase_if(state.upstreams, [now](const auto &entry) {
         const Upstream &upstream = entry.second;
-        return upstream.usableUntil != never && now >= upstream.usableUntil + rememberedFor
+        return upstream.usableUntil != never && now >= upstream.usableUntil + removalRetention
                 && upstream.underWay == 0;
     });
-    const auto isForgotten = [&state](const auto &entry) {
+    const auto isRemoved = [&state](const auto &entry) {
         return !state.upstreams.contains(entry.first);
     };
-    std::erase_if(state.engines, isForgotten);
-    std::erase_if(state.holders.entries, isForgotten);
+    std::erase_if(state.engines, isRemoved);
+    std::erase_if(state.coordinators.entries, isRemoved);
     std::erase_if(state.ownEngines,
                   [&state](const UpstreamId &id) { return !state.upstreams.contains(id); });
 }
 
-/// Hosts of this zone that can read the platform and rank before this one.
-std::size_t countReadersBefore(const GatewayState &state, Instant now)
+/// Number of hosts of this zone that can read from the platform and rank before this one.
+std::size_t countHigherRankedReaders(const GatewayState &state, Instant now)
 {
     const std::uint64_t key = stableHash(readersKey);
     const std::uint64_t ownRank = rendezvousMix(key, stableHash(state.self.id.value));
@@ -139,7 +139,7 @@
     if (isRestarted || isMoved) {
         upstream.avoidedUntil = Instant{};
         upstream.failuresInARow = 0;
-        upstream.failureShare = 0;
+        upstream.failureRate = 0;
     }
     if (!upstream.engine.isSeen() || isRestarted) {
         upstream.engine = listed.engine;
@@ -153,11 +153,11 @@
     if (found == state.upstreams.end())
         return;
     Upstream &upstream = found->second;
-    const bool isLapse = state.platformFailedAt.micros != 0
-            && now - state.platformFailedAt < lapsesFor;
+    const bool isOutage = state.platformFailedAt.micros != 0
+            && now - state.platformFailedAt < outageRecoveryTime;
     wakeEngine(state, id);
     if (upstream.usableUntil == never)
-        upstream.usableUntil = now + (isLapse ? usedAfterLapse : usedAfterRemoval);
+        upstream.usableUntil = now + (isOutage ? outageRemovalGrace : removalGrace);
 }
 
 void declareVersion(GatewayState &state, const ModelName &adapter, std::uint64_t version)
@@ -189,7 +189,7 @@
 bool readsPlatform(GatewayState &state, Instant now)
 {
     const bool isNeeded = state.configuration.version == 0
-            || countReadersBefore(state, now) < readersOfZone || isLeftBehind(state, now);
+            || countHigherRankedReaders(state, now) < readersPerZone || isLagging(state, now);
     if (!isNeeded)
         state.platform = PlatformView::NotRead;
     return isNeeded;
@@ -215,14 +215,14 @@
 
 void tick(GatewayState &state, std::uint64_t wallMillis, Instant now, Actions &actions)
 {
-    forgetGone(state, now);
+    removeExpiredUpstreams(state, now);
     forgetLapsed(state.quarantine, now);
     updateMembers(state.members, now);
-    endTries(state, now);
+    resolveEarlyAttempts(state, now);
     placeWaiting(state, now, actions);
     endOverdue(state, now, actions);
-    dropAwaited(state);
-    runEngines(state, wallMillis, now, actions);
+    dropUnneededLoads(state);
+    pollEngines(state, wallMillis, now, actions);
     runGossip(state, now, actions);
 }
 
--- a/packages/gateway/src/holders.cpp
+++ b/packages/gateway/src/holders.cpp
@@ -6,40 +6,40 @@
 
 namespace {
 
-/// News may miss once and come a little late.
-constexpr double heartbeatsOfNews = 2.2;
-constexpr Span shortestNewsLapse = std::chrono::milliseconds(1600);
+/// Validity of an update in heartbeats: one may be lost and the next a little late.
+constexpr double updateValidityHeartbeats = 2.2;
+constexpr Span minUpdateValidity = std::chrono::milliseconds(1600);
 
-const HostId &rankedHolder(GatewayState &state, const Upstream &engine, Instant now)
+const HostId &rankedCoordinator(GatewayState &state, const Upstream &engine, Instant now)
 {
-    HolderCache::Entry &entry = state.holders.entries[engine.listed.id];
+    CoordinatorCache::Entry &entry = state.coordinators.entries[engine.listed.id];
     const std::uint64_t generation = state.members.generation;
     if (entry.generation != generation || entry.zone != engine.listed.zone)
-        entry = { generation, engine.listed.zone, presumedHolder(engine, state.members, now) };
-    return entry.holder;
+        entry = { generation, engine.listed.zone, presumedCoordinator(engine, state.members, now) };
+    return entry.coordinator;
 }
 
 } // namespace
 
 bool isOwnEngine(GatewayState &state, const Upstream &engine, Instant now)
 {
-    return rankedHolder(state, engine, now) == state.self.id;
+    return rankedCoordinator(state, engine, now) == state.self.id;
 }
 
 HostId askedHolder(GatewayState &state, const Upstream &engine, Instant now)
 {
-    const HostId &ranked = rankedHolder(state, engine, now);
-    const bool isTold = ranked != state.self.id && !engine.toldBy.value.empty()
-            && now - engine.toldAt < newsLapse(state, engine)
+    const HostId &ranked = rankedCoordinator(state, engine, now);
+    const bool isUpdateRecent = ranked != state.self.id && !engine.toldBy.value.empty()
+            && now - engine.toldAt < updateValidity(state, engine)
             && isAlive(state.members, engine.toldBy, now);
-    return isTold ? engine.toldBy : ranked;
+    return isUpdateRecent ? engine.toldBy : ranked;
 }
 
-Span newsLapse(const GatewayState &state, const Upstream &engine)
+Span updateValidity(const GatewayState &state, const Upstream &engine)
 {
     const HeartbeatPlan &plan = state.members.plan;
     const Span interval = engine.listed.zone == state.self.zone ? plan.inZone : plan.elsewhere;
-    return std::max(shortestNewsLapse, fromSeconds(toSeconds(interval) * heartbeatsOfNews));
+    return std::max(minUpdateValidity, fromSeconds(toSeconds(interval) * updateValidityHeartbeats));
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/internal.h
+++ b/packages/gateway/src/internal.h
@@ -4,120 +4,122 @@
 
 namespace azurewell::gateway {
 
-/// Callers are sent away for so long when something passes by itself soon. A crashed engine or a
-/// full one has room again within about a second; callers wait at the most a third of the time
-/// that they have left.
+/// Retry-after time of refusals whose cause ends within a short time. A crashed or full engine has
+/// capacity again within about a second; callers wait at most a third of their remaining time.
 inline constexpr Span soon = std::chrono::milliseconds(400);
 
-/// Answers a caller with a refusal; \a record is gone afterwards.
+/// Refuses the request of \a record and deletes \a record.
 void refuseAndForget(GatewayState &state, RequestRecord &record, ResultCode code, Span retryAfter,
                      Actions &actions);
 
-/// Forgets that \a record is at its upstream.
-void leaveUpstream(GatewayState &state, RequestRecord &record);
+/// Removes the request of \a record from the work in progress at its upstream.
+void detachFromUpstream(GatewayState &state, RequestRecord &record);
 
-/// The retry budget of \a service, with this host's part of what the fleet may make.
-RetryBudget &budgetOf(GatewayState &state, const ServiceId &service);
+/// The retry budget of \a service, with this host's share of the fleet's retries.
+RetryBudget &retryBudgetOf(GatewayState &state, const ServiceId &service);
 
-/// Requests that were sent before a report shows their adapter and were not turned away: the others
-/// that wait for it may go.
-void endTries(GatewayState &state, Instant now);
+/// Marks loads as done whose early attempt was not rejected, so that the other requests that wait
+/// for them can be sent.
+void resolveEarlyAttempts(GatewayState &state, Instant now);
 
-/// Whether the upstream says that it did not run the request.
+/// Whether the upstream states that it did not run the request.
 bool isTurnedAway(AttemptOutcome outcome);
 
-/// The request of \a record, sent for a load that should be over, ended with \a outcome.
-void noteTryEnded(GatewayState &state, const RequestRecord &record, AttemptOutcome outcome,
-                  Instant now);
+/// Handles the end of a request that was sent before a report showed its load as done.
+void handleEarlyAttemptEnd(GatewayState &state, const RequestRecord &record, AttemptOutcome outcome,
+                           Instant now);
 
-/// Prompt tokens that an engine of \a service reads in a second, as learnt.
-double readPerSecondOf(const GatewayState &state, const ServiceId &service);
+/// The learnt prefill rate of the engines of \a service, in prompt tokens per second.
+double prefillRateOf(const GatewayState &state, const ServiceId &service);
 
 UpstreamNeed needOf(const GatewayState &state, const RequestRecord &record);
 
-/// Sends a request to an upstream.
+/// Sends the request of \a record to the upstream \a id.
 void dispatch(GatewayState &state, RequestRecord &record, const UpstreamId &id,
               const ModelName &model, Instant now, Actions &actions);
 
-/// Finds an upstream for a request that is not at one: sends it, has its adapter loaded, or
-/// refuses.
+/// Finds an upstream for a request that is not at one: sends it, requests a load of its adapter, or
+/// refuses it.
 void place(GatewayState &state, RequestRecord &record, Instant now, Actions &actions);
 
-/// Asks the host that paces the prompts of \a engine when that of \a record may leave for it.
-void askTurn(GatewayState &state, RequestRecord &record, const Upstream &engine, Instant now,
-             Actions &actions);
+/// Requests admission for the prompt of \a record from the coordinator of \a engine.
+void requestAdmission(GatewayState &state, RequestRecord &record, const Upstream &engine,
+                      Instant now, Actions &actions);
 
-/// Takes the answer to askTurn(). Where the wait is long, another engine is asked as well.
+/// Handles the answer to requestAdmission(). If the wait is long, requests admission at another
+/// engine as well.
 ///
-/// Load pattern: a popular adapter is at several engines, and each host, which sends a prompt there
-/// every few seconds, knows only old loads of them. It joins the queue of one engine while the
-/// others have nothing to read.
+/// Load pattern: a popular adapter is on several engines, and each host sends a prompt to them only
+/// every few seconds and so knows only outdated loads. Without a second request it would queue at
+/// one engine while the others are idle.
 void noteTurn(GatewayState &state, RequestRecord &record, const PromptTurn &turn, Instant now,
               Actions &actions);
 
-/// Whether the prompt of \a record, which was asked for, may leave now. Where nobody answers, it
-/// does.
-bool hasTurn(RequestRecord &record, Instant now);
+/// Whether the prompt of \a record, for which admission was requested, may be sent now. True after
+/// a timeout if no answer came.
+bool isAdmitted(RequestRecord &record, Instant now);
 
-/// Takes a turn for the request of \a ask at \a upstream, where this host orders: by the prompts
-/// that are before it, and by the limit that the upstream states.
+/// Admits the prompt of \a request at \a upstream, which this host coordinates, after the prompts
+/// ahead of it and within the rate limit of the upstream.
 PromptTurn takeTurnAt(const GatewayState &state, OrderedEngine &engine, const Upstream &upstream,
-                      const PromptAsk &ask, Instant now);
+                      const PromptAsk &request, Instant now);
 
-/// A turn that was taken is not used.
+/// Cancels an unused admission.
 void giveBackTurn(const GatewayState &state, OrderedEngine &engine, const Upstream &upstream,
-                  const PromptAsk &ask);
+                  const PromptAsk &request);
 
-/// Whether a request for \a model has to wait for its turn at \a upstream.
-bool needsTurn(const GatewayState &state, const Upstream &upstream, const ModelName &model,
-               Instant now);
+/// Whether a request for \a model needs admission at \a upstream.
+bool needsAdmission(const GatewayState &state, const Upstream &upstream, const ModelName &model,
+                    Instant now);
 
-/// Whether \a record may not be sent to \a upstream, as it states a limit and the host that counts
-/// has not said yes.
+/// Whether \a upstream states a rate limit and \a record has no permit for it.
 bool lacksPermit(const RequestRecord &record, const Upstream &upstream, Instant now);
 
-/// Whether the permit of \a record comes only when it is given up.
+/// Whether the permit of \a record becomes valid only after the placement deadline.
 bool isTooLate(const RequestRecord &record);
 
-/// \a record goes to another upstream than \a limited, which takes it too late.
-void passOver(GatewayState &state, RequestRecord &record, const UpstreamId &limited, Instant now,
-              Actions &actions);
+/// Excludes \a limited, whose permit comes too late, and lets \a record be placed at another
+/// upstream.
+void excludeUpstream(GatewayState &state, RequestRecord &record, const UpstreamId &limited,
+                     Instant now, Actions &actions);
 
-/// Has one more engine load the adapter of \a need.
+/// Requests a load of the adapter of \a need at one more engine.
 void loadCopy(GatewayState &state, const UpstreamNeed &need, Instant now, Actions &actions);
 
-/// Places the waiting requests whose adapter is ready, and refuses those that waited for too long.
+/// Places the waiting requests whose adapter is ready, and refuses those that have waited too long.
 void placeWaiting(GatewayState &state, Instant now, Actions &actions);
 
-/// The same for those whose adapter \a engine has.
+/// Places the waiting requests whose adapter is ready at \a engine, and refuses those that have
+/// waited too long.
 void placeWaitingAt(GatewayState &state, const UpstreamId &engine, Instant now, Actions &actions);
 
-/// Requests that reached their deadline get their final answer.
+/// Gives a final answer to requests that have reached their deadline.
 void endOverdue(GatewayState &state, Instant now, Actions &actions);
 
-/// What becomes of a load that is asked for.
+/// Expected outcome of a requested load.
 enum class LoadProspect : std::uint8_t {
-    Coming,    ///< It is on its way, or will be in time.
-    StoreBusy, ///< The weight store cannot bring it in time, to whichever engine.
-    NotHere,   ///< This host does not order there, or the engine has no place for it.
+    Coming,      ///< In progress, or will be done in time.
+    StoreBusy,   ///< The weight store cannot deliver it in time to any engine.
+    Unavailable, ///< This host does not coordinate the engine, or the engine has no free slot.
 };
 
-/// Asks for \a adapter to be loaded, at this host's own engines or by the host that orders there.
-LoadProspect awaitLoad(GatewayState &state, const ModelName &adapter, const UpstreamNeed &need,
-                       Instant now, Actions &actions);
+/// Requests a load of \a adapter, at an engine of this host or from the coordinator of another
+/// engine.
+LoadProspect requestLoad(GatewayState &state, const ModelName &adapter, const UpstreamNeed &need,
+                         Instant now, Actions &actions);
 
-/// Another host, or this one, wants an adapter at an engine.
+/// Handles the request of another host, or of this one, to load an adapter at an engine.
 LoadProspect wantLoad(GatewayState &state, const LoadRequest &request, Instant now);
 
-/// The platform's weight store cannot bring an adapter in time: what waits for it is refused.
+/// Refuses the requests that wait for \a adapter, as the weight store cannot deliver it in time.
 void refuseWaiting(GatewayState &state, const ModelName &adapter, Instant now, Actions &actions);
 
-/// Something happened at \a engine: it is looked at in the next tick.
+/// Schedules \a engine to be polled in the next tick.
 void wakeEngine(GatewayState &state, const UpstreamId &engine);
 void wakeEngines(GatewayState &state);
 
-/// Reports and orders that are due.
-void runEngines(GatewayState &state, std::uint64_t wallMillis, Instant now, Actions &actions);
+/// Polls the engines that are due: queries reports and gives orders.
+void pollEngines(GatewayState &state, std::uint64_t wallMillis, Instant now, Actions &actions);
 
 /// Sends \a message to \a address in \a zone.
 void send(const GatewayState &state, const Endpoint &address, const ZoneId &zone, MessageKind kind,
@@ -129,105 +131,106 @@
 void sendTo(const GatewayState &state, const HostId &host, MessageKind kind, Gossip message,
             Actions &actions);
 
-/// A message of this host that tells nothing but who it is and how far it knows published changes.
+/// A message with only the identity of this host and its revision of published changes.
 Gossip blankGossip(const GatewayState &state, Instant now);
 
-/// Whether each host learns at the next tick of prompts sent to engines, of loads, and of what
-/// customers near their limit used. In a larger fleet that would be too many messages, and each
-/// host has a smaller part in it.
+/// Whether each host sends updates on prompts, loads and the use of customers near their limit at
+/// the next tick. In a larger fleet that would be too many messages, and each host has a smaller
+/// share of the work.
 bool isSmallFleet(const GatewayState &state);
 
-/// Adds what this host tells regularly of engines, of work and of customers' uses. In a large fleet
-/// the other zones are told by relays.
+/// Adds the periodic updates on engines, work and customers' use. In a large fleet the other zones
+/// are updated through relays.
 void addRegularNews(GatewayState &state, Gossip &message, Instant now);
 
-/// Tells the others of what is new here.
+/// Sends pending updates to other hosts.
 void sendNews(GatewayState &state, Instant now, Actions &actions);
 
-/// Heartbeats and news that are due.
+/// Sends heartbeats and updates that are due.
 void runGossip(GatewayState &state, Instant now, Actions &actions);
 
-/// Tells all other hosts of this host's news, through a relay. Hosts of its own zone are told of
-/// engines by itself.
+/// Sends updates of this host to all other hosts through a relay. Engine updates to hosts of its
+/// own zone are sent directly.
 void tellFleet(GatewayState &state, RelayedNews news, Instant now, Actions &actions);
 
-/// Tells all other hosts of suspicions and limits at once, whether they are heard or not; in a
+/// Sends suspicions and limits to all other hosts at once, whether they are reachable or not; in a
 /// large fleet through a relay.
 void tellAll(GatewayState &state, MessageKind kind, RelayedNews news, Instant now,
              Actions &actions);
 
-/// Takes news that other hosts pass on, and passes on what this host is asked to.
+/// Handles updates that other hosts relayed, and relays updates on request.
 void takeRelayed(GatewayState &state, const Gossip &message, Instant now, Actions &actions);
 
-/// Sends what was gathered to be passed on, where it is due.
+/// Sends the collected relay messages that are due.
 void runRelay(GatewayState &state, Instant now, Actions &actions);
 
-/// Takes what \a from, in its present life, admitted of customers' requests.
+/// Handles the use of customers' limits that \a from admitted in its current incarnation.
 void takeUses(GatewayState &state, const HostId &from, Incarnation incarnation,
               const std::vector<CustomerUse> &uses, Instant now);
 
-/// Takes the news of the host that orders at an engine. News of what was seen earlier than what is
-/// known here is dropped.
+/// Handles an update from the coordinator of an engine. Drops it if the state known here is newer.
 void takeNews(GatewayState &state, const HostId &from, const EngineNews &news, Instant now);
 
-/// This host has begun to use an adapter at an engine, or still does.
-void noteUse(GatewayState &state, const UpstreamId &engine, const ModelName &adapter, Instant now);
+/// Records that a request of this host uses an adapter at an engine.
+void recordUse(GatewayState &state, const UpstreamId &engine, const ModelName &adapter,
+               Instant now);
 
-/// Tells the host that orders at \a engine which adapters this host uses there: it would evict an
-/// adapter under a request that it does not know of.
-void tellUse(GatewayState &state, const Upstream &engine, Instant now, Actions &actions);
+/// Reports the adapters that this host uses at \a engine to its coordinator, which would otherwise
+/// evict an adapter that is in use.
+void sendAdapterUses(GatewayState &state, const Upstream &engine, Instant now, Actions &actions);
 
-/// The connection to its upstream ended under \a record, before the answer did.
+/// Handles a connection to an upstream that ended before the answer to \a record was complete.
 void noteCutOff(GatewayState &state, const RequestRecord &record, Instant now, Actions &actions);
 
-/// Takes what other hosts suspect.
+/// Handles the crash suspicions of other hosts.
 void takeSuspicions(GatewayState &state, const std::vector<CrashSuspicion> &suspicions, Instant now,
                     Actions &actions);
 
-/// \a upstream was in its life \a start when it answered a call that was sent at \a sentAt.
+/// Records that \a upstream answered a call that was sent at \a sentAt, in the process that started
+/// at \a start.
 void noteLives(GatewayState &state, Upstream &upstream, std::int64_t start, Instant sentAt);
 
-/// Whether \a record may not be sent: it is in quarantine, or upstreams may have ended under it and
-/// another copy of it is at one. Sent together, copies would end as many upstreams before the first
-/// end is known.
+/// Whether \a record may not be sent: it is in quarantine, or upstreams may have crashed on it and
+/// another copy of it is at one. Copies sent together would crash as many upstreams before the
+/// first crash is known.
 bool isKeptBack(const GatewayState &state, const RequestRecord &record);
 
-/// \a record is sent to no upstream (see crash_quarantine.h).
+/// Refuses \a record, which is in quarantine (see crash_quarantine.h).
 void refuseQuarantined(GatewayState &state, RequestRecord &record, Instant now, Actions &actions);
 
-/// Tells the others of requests under which upstreams may have ended.
+/// Sends suspicions about requests on which upstreams may have crashed to other hosts.
 void tellSuspicions(GatewayState &state, Instant now, Actions &actions);
 
-/// Takes what an upstream, or another host, says of its limit.
-LimitChange takeLimit(Upstream &upstream, const LimitWord &word, Actions &actions);
+/// Updates the rate limit of \a upstream from \a observation and logs a change.
+LimitChange applyLimit(Upstream &upstream, const LimitObservation &observation, Actions &actions);
 
-/// Takes what other hosts heard of limits.
+/// Handles rate limits that other hosts observed.
 void takeLimits(GatewayState &state, const std::vector<UpstreamLimit> &limits, Actions &actions);
 
-/// Tells the others of limits that are new, or have not been told lately.
+/// Sends rate limits to other hosts that are new or were not sent recently.
 void tellLimits(GatewayState &state, Instant now, Actions &actions);
 
-/// What is known of uses before this process started.
+/// What is known of customers' use from before the start of this process.
 MeterStart meterStart(const GatewayState &state, Instant now);
 
-/// How a customer's limit is read here, with the others as often heard as they are.
+/// The parameters of customers' limits, adapted to the current heartbeat intervals.
 MeterLimits currentLimits(const GatewayState &state);
 
-/// Whether this host is the one to order at \a engine, as far as it can tell.
+/// Whether this host is the coordinator of \a engine, as far as it knows.
 bool isOwnEngine(GatewayState &state, const Upstream &engine, Instant now);
 
-/// Whom to ask for a load at \a engine, and to tell of its use. A host that told of the engine
-/// lately goes before the one that ranks first here: hosts of other zones notice a loss late, and
-/// the host that took over tells at once.
+/// The host to send load requests and adapter uses for \a engine to. The sender of a recent update
+/// on the engine is preferred to the host that ranks first here: a lost host is noticed late in
+/// other zones, while the new coordinator sends updates at once.
 HostId askedHolder(GatewayState &state, const Upstream &engine, Instant now);
 
-/// News of an engine that its host repeats with each heartbeat are out of date after this.
-Span newsLapse(const GatewayState &state, const Upstream &engine);
+/// How long an update on an engine stays valid; coordinators repeat it with each heartbeat.
+Span updateValidity(const GatewayState &state, const Upstream &engine);
 
-/// How \a name is called among the adapters of an engine.
+/// The key of \a name among the adapters of an engine.
 AdapterRef refOf(const ModelName &name);
 
-/// A uniform number in [0, 1).
+/// A uniform random number in [0, 1).
 double draw(GatewayState &state);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/limits.cpp
+++ b/packages/gateway/src/limits.cpp
@@ -8,25 +8,26 @@
 
 namespace {
 
-/// Where nobody has told of a limit for so long, a host that hears it again does.
-constexpr Span renewedEvery = std::chrono::seconds(1);
+/// A limit that was not sent for this time is sent again when an answer states it.
+constexpr Span renewalInterval = std::chrono::seconds(1);
 
-void noteInLog(const Upstream &upstream, LimitChange change, Actions &actions)
+void logLimitChange(const Upstream &upstream, LimitChange change, Actions &actions)
 {
-    const bool isBegun = change == LimitChange::Begun;
-    actions.notes.push_back({ isBegun ? "upstream_limit" : "upstream_limit_ended",
-                              { { "upstream", upstream.listed.id.value },
-                                { "per_second", fmt::format("{:g}", upstream.limit.perSecond) },
-                                { "by_report", upstream.limit.isInReports ? "true" : "false" } } });
+    const bool isNew = change == LimitChange::Begun;
+    actions.notes.push_back(
+            { isNew ? "upstream_limit_stated" : "upstream_limit_ended",
+              { { "upstream", upstream.listed.id.value },
+                { "per_second", fmt::format("{:g}", upstream.limit.perSecond) },
+                { "stated_in_reports", upstream.limit.isInReports ? "true" : "false" } } });
 }
 
 } // namespace
 
-LimitChange takeLimit(Upstream &upstream, const LimitWord &word, Actions &actions)
+LimitChange applyLimit(Upstream &upstream, const LimitObservation &observation, Actions &actions)
 {
-    const LimitChange change = noteLimit(upstream.limit, word);
+    const LimitChange change = updateLimit(upstream.limit, observation);
     if (change == LimitChange::Begun || change == LimitChange::Ended)
-        noteInLog(upstream, change, actions);
+        logLimitChange(upstream, change, actions);
     return change;
 }
 
@@ -36,13 +37,14 @@
     if (found == state.upstreams.end())
         return;
     Upstream &upstream = found->second;
-    const Instant namedBefore = upstream.limit.namedAt;
+    const Instant statedBefore = upstream.limit.statedAt;
     const std::int64_t start = lifeOf(upstream).start;
-    const LimitChange change = takeLimit(
+    const LimitChange change = applyLimit(
             upstream, { event.perSecond, start, event.sentAt, now, event.isReport }, actions);
-    const bool isRenewalDue = change == LimitChange::Renewed && now - namedBefore >= renewedEvery;
+    const bool isRenewalDue = change == LimitChange::Renewed
+            && now - statedBefore >= renewalInterval;
     if (change == LimitChange::Begun || change == LimitChange::Ended || isRenewalDue)
-        state.limitsToTell.insert(event.upstream);
+        state.limitsToSend.insert(event.upstream);
 }
 
 void takeLimits(GatewayState &state, const std::vector<UpstreamLimit> &limits, Actions &actions)
@@ -50,24 +52,24 @@
     for (const UpstreamLimit &limit : limits) {
         const auto found = state.upstreams.find(limit.upstream);
         if (found != state.upstreams.end())
-            takeLimit(found->second, { limit.perSecond, limit.start, limit.at, limit.at, false },
-                      actions);
+            applyLimit(found->second, { limit.perSecond, limit.start, limit.at, limit.at, false },
+                       actions);
     }
 }
 
 void tellLimits(GatewayState &state, Instant now, Actions &actions)
 {
-    if (state.limitsToTell.empty())
+    if (state.limitsToSend.empty())
         return;
     RelayedNews news;
-    for (const UpstreamId &id : std::exchange(state.limitsToTell, {})) {
+    for (const UpstreamId &id : std::exchange(state.limitsToSend, {})) {
         const auto found = state.upstreams.find(id);
         if (found == state.upstreams.end())
             continue;
         const StatedLimit &limit = found->second.limit;
-        const bool isNamed = limit.perSecond > 0;
+        const bool isStated = limit.perSecond > 0;
         news.limits.push_back(
-                { id, limit.start, limit.perSecond, isNamed ? limit.namedAt : limit.endedAt });
+                { id, limit.start, limit.perSecond, isStated ? limit.statedAt : limit.endedAt });
     }
     tellAll(state, MessageKind::UpstreamLimits, std::move(news), now, actions);
 }
--- a/packages/gateway/src/load_times.cpp
+++ b/packages/gateway/src/load_times.cpp
@@ -6,97 +6,99 @@
 
 namespace {
 
-/// Before anything was learnt. A longer time than the true one costs its callers the difference, a
-/// shorter one costs retries.
-constexpr Span firstFromStore = std::chrono::milliseconds(300);
-constexpr Span firstHeldLately = std::chrono::milliseconds(45);
+/// Initial estimates. Too long a time delays callers by the difference; too short a time costs
+/// retries.
+constexpr Span initialFromStore = std::chrono::milliseconds(300);
+constexpr Span initialFromHostMemory = std::chrono::milliseconds(45);
 
-constexpr Span shortestExpected = std::chrono::milliseconds(5);
-constexpr Span longestExpected = std::chrono::seconds(6);
+constexpr Span minExpected = std::chrono::milliseconds(5);
+constexpr Span maxExpected = std::chrono::seconds(6);
 
-/// A load that was not over makes the next ones be expected later by a part of the time; twice as
-/// much with each further one in a row, so that loads of seconds are learnt from a few.
+/// A rejection raises the expected time by a fraction of it, doubled with each further rejection in
+/// a row, so that load times of seconds are learnt from a few loads.
 constexpr int growthDivisor = 40;
-constexpr Span shortestGrowth = std::chrono::milliseconds(4);
-constexpr std::uint32_t mostDoublings = 8;
+constexpr Span minGrowth = std::chrono::milliseconds(4);
+constexpr std::uint32_t maxDoublings = 8;
 
-/// So many loads are expected after the same time before a shorter one is tried, which may cost a
-/// retry. Then the time shrinks by 1 %, 2 %, ... with each: a crowded weight store has made it much
-/// too long.
-constexpr std::uint32_t takenBeforeShrinking = 12;
-constexpr std::uint32_t mostShrinkPercent = 10;
+/// Number of accepted requests in a row before a shorter time is tried, which may cost a retry. The
+/// time then shrinks by 1 %, 2 %, ... with each accepted request, as an overloaded weight store may
+/// have made it much too long.
+constexpr std::uint32_t acceptsBeforeShrinking = 12;
+constexpr std::uint32_t maxShrinkPercent = 10;
 
-/// Requests sent for one load before a report shows it. Each that is turned away is a retry.
-constexpr std::uint32_t mostTries = 3;
+/// Maximum number of requests sent for one load before a report shows it as done. Each rejection
+/// costs a retry.
+constexpr std::uint32_t maxEarlyAttempts = 3;
 
-/// After a request was turned away the next one goes so much later, and twice that after two.
-constexpr Span firstRepeat = std::chrono::milliseconds(15);
+/// Base of the delay after a rejection; doubled with each request sent for the load.
+constexpr Span earlyAttemptBackoff = std::chrono::milliseconds(15);
 
-/// A request that is turned away is back by then: hosts and engines are some milliseconds apart.
-constexpr Span turnedAwayWithin = std::chrono::milliseconds(15);
+/// An early attempt that was not rejected within this time counts as accepted: hosts and engines
+/// are some milliseconds apart.
+constexpr Span rejectionTimeout = std::chrono::milliseconds(15);
 
 } // namespace
 
 LoadTimes::LoadTimes()
-    : fromStore{ firstFromStore, 0, takenBeforeShrinking }
-    , heldLately{ firstHeldLately, 0, takenBeforeShrinking }
+    : fromStore{ initialFromStore, 0, acceptsBeforeShrinking }
+    , fromHostMemory{ initialFromHostMemory, 0, acceptsBeforeShrinking }
 {
 }
 
-LoadTime &timeOf(LoadTimes &times, const LoadUnderWay &load)
+LoadTime &timeOf(LoadTimes &times, const LoadInProgress &load)
 {
-    return load.isHeldLately ? times.heldLately : times.fromStore;
+    return load.isHeldLately ? times.fromHostMemory : times.fromStore;
 }
 
-const LoadTime &timeOf(const LoadTimes &times, const LoadUnderWay &load)
+const LoadTime &timeOf(const LoadTimes &times, const LoadInProgress &load)
 {
-    return load.isHeldLately ? times.heldLately : times.fromStore;
+    return load.isHeldLately ? times.fromHostMemory : times.fromStore;
 }
 
-void noteTaken(LoadTime &time, Span elapsed)
+void recordAccepted(LoadTime &time, Span elapsed)
 {
-    // A request that came much later than expected says nothing about the expectation.
+    // A request that was sent much later than expected says nothing about the estimate.
     if (elapsed > time.expected * 2)
         return;
-    time.missedInARow = 0;
-    ++time.takenInARow;
-    if (time.takenInARow <= takenBeforeShrinking)
+    time.consecutiveRejections = 0;
+    ++time.consecutiveAccepts;
+    if (time.consecutiveAccepts <= acceptsBeforeShrinking)
         return;
-    const std::uint32_t percent = std::min(time.takenInARow - takenBeforeShrinking,
-                                           mostShrinkPercent);
-    time.expected = std::max(time.expected - time.expected * percent / 100, shortestExpected);
+    const std::uint32_t percent = std::min(time.consecutiveAccepts - acceptsBeforeShrinking,
+                                           maxShrinkPercent);
+    time.expected = std::max(time.expected - time.expected * percent / 100, minExpected);
 }
 
-void noteMissed(LoadTime &time, Span elapsed)
+void recordRejected(LoadTime &time, Span elapsed)
 {
-    const Span growth = std::max(time.expected / growthDivisor, shortestGrowth)
-            * (1LL << std::min(time.missedInARow, mostDoublings));
-    ++time.missedInARow;
-    time.takenInARow = 0;
-    time.expected = std::min(std::max(time.expected, elapsed) + growth, longestExpected);
+    const Span growth = std::max(time.expected / growthDivisor, minGrowth)
+            * (1LL << std::min(time.consecutiveRejections, maxDoublings));
+    ++time.consecutiveRejections;
+    time.consecutiveAccepts = 0;
+    time.expected = std::min(std::max(time.expected, elapsed) + growth, maxExpected);
 }
 
-bool isTryDue(const LoadTimes &times, const LoadUnderWay &load, Instant now)
+bool isEarlyAttemptDue(const LoadTimes &times, const LoadInProgress &load, Instant now)
 {
-    return !load.isDone && load.triedAt.micros == 0 && load.tries < mostTries
-            && now >= load.nextTryAt && now >= load.since + timeOf(times, load).expected;
+    return !load.isDone && load.earlyAttemptAt.micros == 0 && load.earlyAttempts < maxEarlyAttempts
+            && now >= load.nextEarlyAttemptAt && now >= load.since + timeOf(times, load).expected;
 }
 
-void beginTry(LoadUnderWay &load, Instant now)
+void beginEarlyAttempt(LoadInProgress &load, Instant now)
 {
-    ++load.tries;
-    load.triedAt = now;
+    ++load.earlyAttempts;
+    load.earlyAttemptAt = now;
 }
 
-void endTry(LoadUnderWay &load, Instant now)
+void endEarlyAttempt(LoadInProgress &load, Instant now)
 {
-    load.triedAt = Instant{};
-    load.nextTryAt = now + firstRepeat * (1LL << load.tries);
+    load.earlyAttemptAt = Instant{};
+    load.nextEarlyAttemptAt = now + earlyAttemptBackoff * (1LL << load.earlyAttempts);
 }
 
-bool isTryTaken(const LoadUnderWay &load, Instant now)
+bool isEarlyAttemptAccepted(const LoadInProgress &load, Instant now)
 {
-    return load.triedAt.micros != 0 && now >= load.triedAt + turnedAwayWithin;
+    return load.earlyAttemptAt.micros != 0 && now >= load.earlyAttemptAt + rejectionTimeout;
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/loads.cpp
+++ b/packages/gateway/src/loads.cpp
@@ -4,60 +4,60 @@
 
 namespace {
 
-/// A word to another host is repeated after this time: it may be lost.
-constexpr Span askAgain = std::chrono::milliseconds(150);
+/// Interval at which a load request to another host is repeated, as messages may be lost.
+constexpr Span loadRequestInterval = std::chrono::milliseconds(150);
 
-/// Another engine is asked when the load has not come by then. A load may wait for a request to end
-/// that keeps its place, a second or two; asked sooner, a second engine brings the same adapter and
-/// evicts another one for it, which is loaded again a moment later. A host that is lost is noticed
-/// within this time, and an engine that has no place says so at once.
-constexpr Span otherEngineAfter = std::chrono::milliseconds(2000);
+/// Time after which another engine is asked for a load that is not done. A load may wait a second
+/// or two for a request that occupies its slot. With a shorter time a second engine would load the
+/// same adapter and evict another one that is needed again a moment later. A lost host is noticed
+/// within this time, and an engine without a free slot refuses at once.
+constexpr Span otherEngineDelay = std::chrono::milliseconds(2000);
 
-/// Where so many engines have no place for an adapter the fleet has none: the request is refused
-/// at once instead of being passed from engine to engine until it has waited for too long.
-constexpr std::size_t mostEnginesAsked = 8;
+/// After this number of engines without a slot for an adapter, the request is refused at once: the
+/// fleet has no slot, and asking further engines would only use up the request's time.
+constexpr std::size_t maxEnginesAsked = 8;
 
 } // namespace
 
-LoadProspect awaitLoad(GatewayState &state, const ModelName &adapter, const UpstreamNeed &need,
-                       Instant now, Actions &actions)
+LoadProspect requestLoad(GatewayState &state, const ModelName &adapter, const UpstreamNeed &need,
+                         Instant now, Actions &actions)
 {
     AwaitedLoad &awaited = state.awaitedLoads[adapter];
-    const auto present = state.upstreams.find(awaited.engine);
-    const bool isGone = present == state.upstreams.end() || !isUsable(present->second, now);
+    const auto engineEntry = state.upstreams.find(awaited.engine);
+    const bool isGone = engineEntry == state.upstreams.end() || !isUsable(engineEntry->second, now);
     if (isGone || now >= awaited.otherEngineAt) {
-        // The host that orders there may be lost, and nobody have noticed yet.
-        if (!isGone && !present->second.engine.isLoading(adapter))
+        // The coordinator may be lost before any host has noticed it.
+        if (!isGone && !engineEntry->second.engine.isLoading(adapter))
             awaited.refusedBy.insert(awaited.engine);
-        if (awaited.refusedBy.size() >= mostEnginesAsked) {
+        if (awaited.refusedBy.size() >= maxEnginesAsked) {
             state.awaitedLoads.erase(adapter);
-            return LoadProspect::NotHere;
+            return LoadProspect::Unavailable;
         }
-        UpstreamNeed other = need;
-        other.excluded.insert(awaited.refusedBy.begin(), awaited.refusedBy.end());
+        UpstreamNeed otherNeed = need;
+        otherNeed.excluded.insert(awaited.refusedBy.begin(), awaited.refusedBy.end());
         const Service *service = findService(state.configuration, need.service);
         const Upstream *engine = chooseEngineToLoad(
-                state.upstreams, other, state.lastHolders,
+                state.upstreams, otherNeed, state.lastHolders,
                 service->engine ? service->engine->adapterPlaces : 0, now);
         if (!engine) {
             state.awaitedLoads.erase(adapter);
-            return LoadProspect::NotHere;
+            return LoadProspect::Unavailable;
         }
         awaited.engine = engine->listed.id;
-        awaited.otherEngineAt = now + otherEngineAfter;
+        awaited.otherEngineAt = now + otherEngineDelay;
         awaited.askAgainAt = now;
     }
     if (now < awaited.askAgainAt)
         return LoadProspect::Coming;
-    awaited.askAgainAt = now + askAgain;
+    awaited.askAgainAt = now + loadRequestInterval;
     const Upstream &engine = state.upstreams.at(awaited.engine);
     if (engine.engine.isLoading(adapter))
         return LoadProspect::Coming;
     const LoadRequest request{ awaited.engine, adapter };
-    const HostId holder = askedHolder(state, engine, now);
-    if (holder == state.self.id) {
+    const HostId coordinator = askedHolder(state, engine, now);
+    if (coordinator == state.self.id) {
         const LoadProspect prospect = wantLoad(state, request, now);
-        if (prospect == LoadProspect::NotHere) {
+        if (prospect == LoadProspect::Unavailable) {
             awaited.refusedBy.insert(awaited.engine);
             awaited.otherEngineAt = now;
             return LoadProspect::Coming;
@@ -68,18 +68,18 @@
     }
     Gossip message = blankGossip(state, now);
     message.loadRequests.push_back(request);
-    sendTo(state, holder, MessageKind::LoadRequest, std::move(message), actions);
+    sendTo(state, coordinator, MessageKind::LoadRequest, std::move(message), actions);
     return LoadProspect::Coming;
 }
 
-void tellUse(GatewayState &state, const Upstream &engine, Instant now, Actions &actions)
+void sendAdapterUses(GatewayState &state, const Upstream &engine, Instant now, Actions &actions)
 {
-    const HostId holder = askedHolder(state, engine, now);
-    if (holder == state.self.id)
+    const HostId coordinator = askedHolder(state, engine, now);
+    if (coordinator == state.self.id)
         return;
     Gossip message = blankGossip(state, now);
     message.adapterUses = takeUntold(state.ownUses, engine.listed.id);
-    sendTo(state, holder, MessageKind::AdapterUses, std::move(message), actions);
+    sendTo(state, coordinator, MessageKind::AdapterUses, std::move(message), actions);
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/permit_pacer.cpp
+++ b/packages/gateway/src/permit_pacer.cpp
@@ -4,7 +4,7 @@
 
 namespace azurewell::gateway {
 
-Span takePermit(PermitPacer &pacer, double perSecond, Instant now)
+Span reservePermit(PermitPacer &pacer, double perSecond, Instant now)
 {
     const Span turn = fromSeconds(1 / perSecond);
     const Instant first = pacer.nextAt.micros == 0 ? now + turn : pacer.nextAt;
@@ -13,7 +13,7 @@
     return at - now;
 }
 
-void giveBackPermit(PermitPacer &pacer, double perSecond)
+void returnPermit(PermitPacer &pacer, double perSecond)
 {
     pacer.nextAt = pacer.nextAt - fromSeconds(1 / perSecond);
 }
--- a/packages/gateway/src/placing.cpp
+++ b/packages/gateway/src/placing.cpp
@@ -6,52 +6,54 @@
 
 namespace {
 
-/// Callers that are refused for a busy weight store come back spread over this time.
-constexpr Span returnSpread = std::chrono::milliseconds(600);
+/// Range over which the retry-after times of refusals for a busy weight store are spread.
+constexpr Span retryAfterSpread = std::chrono::milliseconds(600);
 
-/// A request whose load is on its way waits for so much longer: a late answer is worth more to its
+/// Extra waiting time of a request whose load is in progress: a late answer is worth more to its
 /// caller than none, and the load is paid for.
-constexpr Span extraWait = std::chrono::milliseconds(900);
+constexpr Span loadInProgressGrace = std::chrono::milliseconds(900);
 
-/// The time to a first event tells how fast an engine reads where less than this part of the
-/// prompt's tokens was before it.
-constexpr double mostBeforeIdle = 0.2;
+/// The time to the first event is used as a sample of the prefill rate if the tokens queued ahead
+/// are less than this share of the prompt.
+constexpr double maxIdleBacklogShare = 0.2;
 
-/// A load that was ordered is done by then: callers that come back find the adapter.
-constexpr Span loadDoneAfter = std::chrono::milliseconds(350);
+/// Retry-after time by which an ordered load is done, so that a retry finds the adapter.
+constexpr Span loadRetryAfter = std::chrono::milliseconds(350);
 
-/// An answer takes about this long for each prompt token and from its start on; used only to keep
-/// requests away from an upstream that is about to be switched off.
-constexpr Span likelyDuration = std::chrono::milliseconds(1200);
+/// Estimated duration of a request; used only to avoid upstreams that are about to be terminated.
+constexpr Span expectedRequestDuration = std::chrono::milliseconds(1200);
 
-Span spreadReturn(GatewayState &state)
+Span spreadRetryAfter(GatewayState &state)
 {
-    return soon + std::chrono::duration_cast<Span>(returnSpread * draw(state));
+    return soon + std::chrono::duration_cast<Span>(retryAfterSpread * draw(state));
 }
 
-/// A popular adapter is loaded at a second engine when those that have it are this much behind, in
-/// seconds. An engine makes a step of its batch between pieces of prompts: with prompts that take
-/// 400 ms to read every 400 ms, the streams that it has get an event of three tokens every 600 ms,
-/// where callers expect one every 400 ms.
-constexpr double waitForAnotherCopy = 0.1;
+/// Wait in seconds at the engines that have a popular adapter from which on it is loaded at one
+/// more. An engine makes a step of its batch between parts of prompts: with prompts that take 400
+/// ms to read arriving every 400 ms, its streams get an event of three tokens every 600 ms, while
+/// callers expect one every 400 ms.
+constexpr double extraCopyWait = 0.1;
 
-/// How many engines should have \a adapter, from what this host's callers send: the balancer gives
-/// it its part of them.
-std::size_t wantedCopies(const GatewayState &state, const ModelName &adapter, double readPerSecond,
-                         Instant now)
+/// How many engines should have \a adapter, estimated from the requests of this host's callers, as
+/// the balancer sends each host its share of them.
+std::size_t targetCopies(const GatewayState &state, const ModelName &adapter,
+                         double prefillTokensPerSecond, Instant now)
 {
     const auto found = state.adapterDemand.find(adapter);
     if (found == state.adapterDemand.end())
         return 1;
     const double perSecond = valueAt(found->second, demandLife, now) / toSeconds(demandLife);
     const double hosts = static_cast<double>(countHeard(state.members, now) + 1);
-    return 1 + static_cast<std::size_t>(perSecond * hosts / (partOfOneCopy * readPerSecond));
+    return 1
+            + static_cast<std::size_t>(perSecond * hosts
+                                       / (shareOfOneCopy * prefillTokensPerSecond));
 }
 
-void spreadIfCrowded(GatewayState &state, const Upstream &chosen, const UpstreamNeed &need,
-                     Instant now, Actions &actions)
+void loadCopyIfCrowded(GatewayState &state, const Upstream &chosen, const UpstreamNeed &need,
+                       Instant now, Actions &actions)
 {
-    if (need.model.isBase() || expectedWait(chosen, need.readPerSecond, now) < waitForAnotherCopy
+    if (need.model.isBase()
+        || expectedWait(chosen, need.prefillTokensPerSecond, now) < extraCopyWait
         || state.awaitedLoads.contains(need.model))
         return;
     UpstreamNeed other = need;
@@ -62,45 +64,45 @@
         other.excluded.insert(id);
         copies += isUsable(upstream, now) ? 1 : 0;
     }
-    if (copies >= wantedCopies(state, need.model, need.readPerSecond, now))
+    if (copies >= targetCopies(state, need.model, need.prefillTokensPerSecond, now))
         return;
-    awaitLoad(state, need.model, other, now, actions);
+    requestLoad(state, need.model, other, now, actions);
 }
 
-/// Load pattern: callers send in clumps, and several hosts send theirs to one engine in the same
-/// half second. The engine reads all the prompts before it makes the next steps of its batch, and
-/// each stream that it has pauses for longer than its callers take for fluent: of 1,700 streams of
-/// a calm day 230 did. A prompt that waits for a quarter of a second is still in time.
-constexpr double crowdedEngine = 0.28; ///< In seconds.
-constexpr Span longestHold = std::chrono::milliseconds(250);
+/// Load pattern: callers send in bursts, and several hosts send to one engine in the same half
+/// second. The engine reads all the prompts before the next steps of its batch, and its streams
+/// pause for longer than callers accept: 230 of the 1,700 streams of a calm day did. A prompt that
+/// is held for a quarter of a second is still in time.
+constexpr double crowdedEngineWait = 0.28; ///< In seconds.
+constexpr Span maxHold = std::chrono::milliseconds(250);
 
-bool isBetterHeld(const RequestRecord &record, const Upstream &chosen, const UpstreamNeed &need,
-                  Instant now)
+bool shouldHold(const RequestRecord &record, const Upstream &chosen, const UpstreamNeed &need,
+                Instant now)
 {
     return !need.model.model.empty() && !isInForce(chosen.limit, now)
-            && now < record.arrivedAt + longestHold
-            && expectedWait(chosen, need.readPerSecond, now) > crowdedEngine;
+            && now < record.arrivedAt + maxHold
+            && expectedWait(chosen, need.prefillTokensPerSecond, now) > crowdedEngineWait;
 }
 
-/// Sends the request of \a record to an engine whose load should be over. False where there is
-/// none, or no retry is left for the case that it is not.
-bool tryFinishedLoad(GatewayState &state, RequestRecord &record, const UpstreamNeed &need,
-                     Instant now, Actions &actions)
+/// Sends the request of \a record to an engine whose load is expected to be done. False if there is
+/// none, or if no retry is left in case the engine rejects it.
+bool sendEarlyAttempt(GatewayState &state, RequestRecord &record, const UpstreamNeed &need,
+                      Instant now, Actions &actions)
 {
     if (need.model.isBase())
         return false;
-    UpstreamNeed atOnce = need;
-    atOnce.isSentAtOnce = true;
-    const Upstream *engine = chooseFinishedLoad(state.upstreams, atOnce,
-                                                state.loadTimes[need.model.model], now);
-    if (!engine || !takeRetry(budgetOf(state, record.service)))
+    UpstreamNeed withoutAdmission = need;
+    withoutAdmission.isSentWithoutAdmission = true;
+    const Upstream *engine = chooseEngineWithFinishedLoad(state.upstreams, withoutAdmission,
+                                                          state.loadTimes[need.model.model], now);
+    if (!engine || !takeRetry(retryBudgetOf(state, record.service)))
         return false;
     const UpstreamId id = engine->listed.id;
-    LoadUnderWay &load = state.upstreams.at(id).loads.at(need.model);
-    beginTry(load, now);
-    state.triedEngines.insert(id);
+    LoadInProgress &load = state.upstreams.at(id).loads.at(need.model);
+    beginEarlyAttempt(load, now);
+    state.earlyAttemptEngines.insert(id);
     load.version = declaredVersion(state.versions, need.model);
-    record.isAheadOfReport = true;
+    record.isEarlyAttempt = true;
     dispatch(state, record, id, need.model, now, actions);
     return true;
 }
@@ -111,8 +113,9 @@
             && chooseUpstream(state.upstreams, needOf(state, record), state.versions, 0, now);
 }
 
-/// Whether the load that \a record waits for is on its way: giving up now would waste it.
-bool isLoadUnderWay(const GatewayState &state, const RequestRecord &record)
+/// Whether the load that \a record waits for is in progress: refusing the request now would waste
+/// it.
+bool isLoadInProgress(const GatewayState &state, const RequestRecord &record)
 {
     const auto awaited = state.awaitedLoads.find(record.asked.model);
     if (awaited == state.awaitedLoads.end())
@@ -121,31 +124,31 @@
     return engine != state.upstreams.end() && engine->second.engine.isLoading(record.asked.model);
 }
 
-/// The engine at which \a record has its turn; \a otherwise where it cannot be used any more.
-const Upstream *engineOfTurn(const GatewayState &state, const RequestRecord &record,
-                             const UpstreamNeed &need, const Upstream &otherwise, Instant now)
+/// The engine that admitted \a record, or \a otherwise if that engine can no longer be used.
+const Upstream *admittedEngine(const GatewayState &state, const RequestRecord &record,
+                               const UpstreamNeed &need, const Upstream &otherwise, Instant now)
 {
-    const auto found = state.upstreams.find(record.turnEngine);
+    const auto found = state.upstreams.find(record.admissionEngine);
     const bool isGood = found != state.upstreams.end() && fits(found->second, need, now)
             && now >= found->second.avoidedUntil
             && isReadyFor(found->second, need.model, state.versions);
     return isGood ? &found->second : &otherwise;
 }
 
-void wait(GatewayState &state, RequestRecord &record)
+void markWaiting(GatewayState &state, RequestRecord &record)
 {
     record.phase = RequestPhase::Waiting;
     state.waiting.insert(record.asked.request);
 }
 
-/// Of two waits the shorter one; 0 is none.
+/// The shorter of two waits; 0 stands for none.
 Span shorterOf(Span a, Span b)
 {
     return a == Span{} ? b : std::min(a, b);
 }
 
-/// Refuses a request that no upstream takes in time, with the reason \a otherwise where none did so
-/// for its limit.
+/// Refuses a request that no upstream takes in time. The reason is \a otherwise, unless a rate
+/// limit kept the request from an upstream.
 void refuseUnplaced(GatewayState &state, RequestRecord &record, ResultCode otherwise,
                     Span retryAfter, Actions &actions)
 {
@@ -154,26 +157,26 @@
                     isLimited ? std::max(record.permitWait, soon) : retryAfter, actions);
 }
 
-/// Places a waiting request, or refuses it where it has waited for too long.
-void placeAgain(GatewayState &state, RequestRecord &record, Instant now, Actions &actions)
+/// Places a waiting request, or refuses it if it has waited too long.
+void placeOrRefuse(GatewayState &state, RequestRecord &record, Instant now, Actions &actions)
 {
-    if (record.turn != PromptTurnState::NotAsked && now < record.turnAt)
+    if (record.turn != PromptTurnState::NotRequested && now < record.turnAt)
         return;
-    const Span late = isLoadUnderWay(state, record) ? extraWait : Span{};
-    const bool isOver = now >= std::min(record.placedBy + late, record.deadline);
-    // The load may just have ended, later than hoped for: what it was ordered for still goes.
+    const Span grace = isLoadInProgress(state, record) ? loadInProgressGrace : Span{};
+    const bool isOver = now >= std::min(record.placementDeadline + grace, record.deadline);
+    // The load may just be done, later than expected: the request is still sent.
     if (isOver && !isReadySomewhere(state, record, now))
-        refuseUnplaced(state, record, ResultCode::AdapterLoadFailed, loadDoneAfter, actions);
+        refuseUnplaced(state, record, ResultCode::AdapterLoadFailed, loadRetryAfter, actions);
     else
         place(state, record, now, actions);
 }
 
 } // namespace
 
-double readPerSecondOf(const GatewayState &state, const ServiceId &service)
+double prefillRateOf(const GatewayState &state, const ServiceId &service)
 {
-    const auto found = state.readingRates.find(service);
-    return found == state.readingRates.end() ? ReadingRate().perSecond : found->second.perSecond;
+    const auto found = state.prefillRates.find(service);
+    return found == state.prefillRates.end() ? PrefillRate().perSecond : found->second.perSecond;
 }
 
 UpstreamNeed needOf(const GatewayState &state, const RequestRecord &record)
@@ -184,9 +187,9 @@
     if (service && service->engine)
         need.model = record.asked.model;
     need.excluded = record.excluded;
-    need.duration = likelyDuration;
+    need.duration = expectedRequestDuration;
     need.zone = state.self.zone;
-    need.readPerSecond = readPerSecondOf(state, record.service);
+    need.prefillTokensPerSecond = prefillRateOf(state, record.service);
     return need;
 }
 
@@ -197,7 +200,7 @@
     ++upstream.underWay;
     const double prompt = static_cast<double>(record.asked.promptTokens.count);
     record.sentAt = now;
-    record.isSentToIdle = promptsBefore(upstream, now) < prompt * mostBeforeIdle;
+    record.isEngineIdle = queuedPromptTokens(upstream, now) < prompt * maxIdleBacklogShare;
     add(upstream.ownPrompts, prompt, promptLife, now);
     state.newWork.insert(id);
     state.sentTo.insert(id);
@@ -206,13 +209,13 @@
     record.phase = RequestPhase::AtUpstream;
     record.upstream = id;
     record.hasAnswerBegun = false;
-    record.turn = PromptTurnState::NotAsked;
+    record.turn = PromptTurnState::NotRequested;
     record.isPermit = false;
     ++record.attempt;
     state.waiting.erase(record.asked.request);
     if (!model.isBase()) {
-        noteUse(state, id, model, now);
-        tellUse(state, upstream, now, actions);
+        recordUse(state, id, model, now);
+        sendAdapterUses(state, upstream, now, actions);
     }
     const LoadedAdapter *loaded = upstream.engine.findReady(model);
     const bool isVersioned = state.versions.contains(model);
@@ -233,52 +236,53 @@
         if (upstream.engine.findReady(need.model) || upstream.engine.isLoading(need.model))
             other.excluded.insert(id);
     }
-    awaitLoad(state, need.model, other, now, actions);
+    requestLoad(state, need.model, other, now, actions);
 }
 
-void noteTryEnded(GatewayState &state, const RequestRecord &record, AttemptOutcome outcome,
-                  Instant now)
+void handleEarlyAttemptEnd(GatewayState &state, const RequestRecord &record, AttemptOutcome outcome,
+                           Instant now)
 {
     const auto engine = state.upstreams.find(record.upstream);
     if (engine == state.upstreams.end() || outcome == AttemptOutcome::Done)
         return;
     const auto load = engine->second.loads.find(record.asked.model);
-    if (load == engine->second.loads.end() || load->second.triedAt.micros == 0)
+    if (load == engine->second.loads.end() || load->second.earlyAttemptAt.micros == 0)
         return;
-    // A fault of the engine says nothing of the load.
+    // A fault of the engine says nothing about the load.
     if (isTurnedAway(outcome)) {
-        noteMissed(timeOf(state.loadTimes[record.asked.model.model], load->second),
-                   load->second.triedAt - load->second.since);
+        recordRejected(timeOf(state.loadTimes[record.asked.model.model], load->second),
+                       load->second.earlyAttemptAt - load->second.since);
     }
-    endTry(load->second, now);
+    endEarlyAttempt(load->second, now);
 }
 
-/// Whether it is not known yet if the engine takes a request that was sent for one of its loads.
-bool isAnyTryOpen(const Upstream &upstream)
+/// Whether an early attempt at \a upstream is neither accepted nor rejected yet.
+bool hasOpenEarlyAttempt(const Upstream &upstream)
 {
     return std::any_of(upstream.loads.begin(), upstream.loads.end(), [](const auto &entry) {
-        return !entry.second.isDone && entry.second.triedAt.micros != 0;
+        return !entry.second.isDone && entry.second.earlyAttemptAt.micros != 0;
     });
 }
 
-void endTries(GatewayState &state, Instant now)
+void resolveEarlyAttempts(GatewayState &state, Instant now)
 {
-    const std::set<UpstreamId> tried = state.triedEngines;
+    const std::set<UpstreamId> tried = state.earlyAttemptEngines;
     for (const UpstreamId &id : tried) {
         const auto found = state.upstreams.find(id);
-        if (found == state.upstreams.end() || !isAnyTryOpen(found->second)) {
-            state.triedEngines.erase(id);
+        if (found == state.upstreams.end() || !hasOpenEarlyAttempt(found->second)) {
+            state.earlyAttemptEngines.erase(id);
             continue;
         }
         Upstream &upstream = found->second;
         for (const auto &[adapter, load] : upstream.loads) {
-            if (load.isDone || !isTryTaken(load, now))
+            if (load.isDone || !isEarlyAttemptAccepted(load, now))
                 continue;
-            noteTaken(timeOf(state.loadTimes[adapter.model], load), load.triedAt - load.since);
-            noteLoadDone(upstream, adapter);
-            // Its place counts as taken by a load until a report shows it: an engine that was slow
-            // to turn the request away still loads, and ordered to hold another adapter instead it
-            // would hold more than it can, and crash.
+            recordAccepted(timeOf(state.loadTimes[adapter.model], load),
+                           load.earlyAttemptAt - load.since);
+            recordLoadDone(upstream, adapter);
+            // The slot counts as loading until a report shows the adapter as ready. An engine that
+            // is slow to reject the request is still loading; if it were ordered to hold another
+            // adapter instead, it would exceed its slots and crash.
             state.changedEngines.insert(id);
         }
     }
@@ -293,27 +297,27 @@
     const UpstreamNeed need = needOf(state, record);
     const Upstream *chosen = chooseUpstream(state.upstreams, need, state.versions, draw(state),
                                             now);
-    if (chosen && record.turn == PromptTurnState::NotAsked
-        && isBetterHeld(record, *chosen, need, now)) {
-        wait(state, record);
+    if (chosen && record.turn == PromptTurnState::NotRequested
+        && shouldHold(record, *chosen, need, now)) {
+        markWaiting(state, record);
         return;
     }
-    if (chosen && needsTurn(state, *chosen, need.model, now)) {
-        if (record.turn == PromptTurnState::NotAsked)
-            askTurn(state, record, *chosen, now, actions);
+    if (chosen && needsAdmission(state, *chosen, need.model, now)) {
+        if (record.turn == PromptTurnState::NotRequested)
+            requestAdmission(state, record, *chosen, now, actions);
         if (isTooLate(record)) {
             record.permitWait = shorterOf(record.permitWait, record.turnAt - now);
-            passOver(state, record, record.turnEngine, now, actions);
+            excludeUpstream(state, record, record.admissionEngine, now, actions);
             place(state, record, now, actions);
             return;
         }
-        if (!hasTurn(record, now)) {
-            wait(state, record);
+        if (!isAdmitted(record, now)) {
+            markWaiting(state, record);
             return;
         }
-        chosen = engineOfTurn(state, record, need, *chosen, now);
+        chosen = admittedEngine(state, record, need, *chosen, now);
         if (lacksPermit(record, *chosen, now)) {
-            passOver(state, record, chosen->listed.id, now, actions);
+            excludeUpstream(state, record, chosen->listed.id, now, actions);
             place(state, record, now, actions);
             return;
         }
@@ -321,25 +325,25 @@
     if (chosen) {
         const UpstreamId id = chosen->listed.id;
         if (isSmallFleet(state))
-            spreadIfCrowded(state, *chosen, need, now, actions);
+            loadCopyIfCrowded(state, *chosen, need, now, actions);
         dispatch(state, record, id, need.model, now, actions);
         return;
     }
     if (!isSuspected(state.quarantine, record.digest)
-        && tryFinishedLoad(state, record, need, now, actions))
+        && sendEarlyAttempt(state, record, need, now, actions))
         return;
     if (need.model.model.empty() || need.model.isBase()) {
         refuseUnplaced(state, record, ResultCode::NoUpstream, soon, actions);
         return;
     }
-    switch (awaitLoad(state, need.model, need, now, actions)) {
+    switch (requestLoad(state, need.model, need, now, actions)) {
     case LoadProspect::Coming:
-        wait(state, record);
+        markWaiting(state, record);
         break;
     case LoadProspect::StoreBusy:
-        refuseAndForget(state, record, ResultCode::QueueFull, spreadReturn(state), actions);
+        refuseAndForget(state, record, ResultCode::QueueFull, spreadRetryAfter(state), actions);
         break;
-    case LoadProspect::NotHere:
+    case LoadProspect::Unavailable:
         refuseUnplaced(state, record, ResultCode::AdapterLoadFailed, soon, actions);
         break;
     }
@@ -350,10 +354,11 @@
     const std::set<RequestNumber> waiting = state.waiting;
     for (const RequestNumber &request : waiting) {
         RequestRecord &record = state.requests.at(request);
-        // Some wait for their turn at an engine that has it: just another copy does not come.
+        // Requests that wait for admission at an engine with the adapter are not affected; only an
+        // additional copy is not loaded.
         if (record.asked.model != adapter || isReadySomewhere(state, record, now))
             continue;
-        refuseAndForget(state, record, ResultCode::QueueFull, spreadReturn(state), actions);
+        refuseAndForget(state, record, ResultCode::QueueFull, spreadRetryAfter(state), actions);
     }
     state.awaitedLoads.erase(adapter);
 }
@@ -362,7 +367,7 @@
 {
     const std::set<RequestNumber> waiting = state.waiting;
     for (const RequestNumber &request : waiting)
-        placeAgain(state, state.requests.at(request), now, actions);
+        placeOrRefuse(state, state.requests.at(request), now, actions);
 }
 
 void placeWaitingAt(GatewayState &state, const UpstreamId &engine, Instant now, Actions &actions)
@@ -374,7 +379,7 @@
     for (const RequestNumber &request : waiting) {
         RequestRecord &record = state.requests.at(request);
         if (found->second.engine.findReady(record.asked.model))
-            placeAgain(state, record, now, actions);
+            placeOrRefuse(state, record, now, actions);
     }
 }
 
--- a/packages/gateway/src/prompt_pacing.cpp
+++ b/packages/gateway/src/prompt_pacing.cpp
@@ -6,39 +6,41 @@
 
 namespace {
 
-/// What an engine reads beside its batch, of what it reads with nothing else to do: a step still
-/// comes every 20 ms.
-constexpr double partBesideBatch = 0.63;
+/// Prefill rate of an engine with a running batch, as a share of its rate without one: a step of
+/// the batch still takes place every 20 ms.
+constexpr double prefillShareBesideBatch = 0.63;
 
-/// Tokens that may be on their way at once, as seconds of reading: with them the steps of an event
-/// take 350 ms, and callers expect one every 400 ms.
-constexpr double mostAtOnce = 0.27;
+/// Maximum backlog, in seconds of prefill: with it the steps of an event take 350 ms, and callers
+/// expect an event every 400 ms.
+constexpr double maxBacklogSeconds = 0.27;
 
-/// A prompt waits no longer than this: with an objective of a second for the first event there is
-/// time to read it and what is before it.
-constexpr Span longestTurn = std::chrono::milliseconds(350);
+/// Maximum wait of a prompt: with an objective of a second for the first event, there is time left
+/// to read it and the prompts ahead of it.
+constexpr Span maxAdmissionWait = std::chrono::milliseconds(350);
 
-/// A wait from which on another copy is worth its load.
-constexpr Span waitForCopy = std::chrono::milliseconds(60);
+/// Wait from which on another copy is worth its load.
+constexpr Span copyWaitThreshold = std::chrono::milliseconds(60);
 
 } // namespace
 
 PromptTurn takeTurn(PromptPacer &pacer, const ModelName &adapter, double tokens,
-                    double readPerSecond, Instant now)
+                    double prefillTokensPerSecond, Instant now)
 {
-    const double drained = readPerSecond * partBesideBatch;
-    const double read = drained * toSeconds(now - pacer.at);
-    pacer.backlog = std::max(0.0, pacer.backlog - read);
+    const double drainRate = prefillTokensPerSecond * prefillShareBesideBatch;
+    const double tokensRead = drainRate * toSeconds(now - pacer.at);
+    pacer.backlog = std::max(0.0, pacer.backlog - tokensRead);
     pacer.at = now;
-    const double allowedBefore = std::max(0.0, mostAtOnce * readPerSecond - tokens);
-    const double tooMuch = std::max(0.0, pacer.backlog - allowedBefore);
+    const double maxBacklogBefore = std::max(0.0,
+                                             maxBacklogSeconds * prefillTokensPerSecond - tokens);
+    const double excess = std::max(0.0, pacer.backlog - maxBacklogBefore);
     pacer.backlog += tokens;
     add(pacer.demand[adapter], tokens, demandLife, now);
 
     PromptTurn turn;
-    turn.wait = std::min<Span>(longestTurn, fromSeconds(tooMuch / drained));
+    turn.wait = std::min<Span>(maxAdmissionWait, fromSeconds(excess / drainRate));
     const double perSecond = pacer.demand[adapter].value / toSeconds(demandLife);
-    turn.isCopyWanted = turn.wait >= waitForCopy && perSecond > partOfOneCopy * readPerSecond;
+    turn.isCopyWanted = turn.wait >= copyWaitThreshold
+            && perSecond > shareOfOneCopy * prefillTokensPerSecond;
     return turn;
 }
 
--- a/packages/gateway/src/reading_rate.cpp
+++ b/packages/gateway/src/reading_rate.cpp
@@ -6,27 +6,27 @@
 
 namespace {
 
-/// Before anything was learnt: what a large model on one accelerator reads.
-constexpr double firstPerSecond = 22'000;
-constexpr double firstOverhead = 0.04; ///< In seconds.
+/// Initial rate: a large model on one accelerator.
+constexpr double initialPerSecond = 22'000;
+constexpr double initialOverhead = 0.04; ///< In seconds.
 
-/// Two prompts as if they had been seen, with the weight of some samples, so that the first ones
-/// move the rate a little each.
-constexpr double firstWeight = 6;
+/// The estimate starts with two assumed prompts that weigh as much as several samples, so that each
+/// of the first samples changes the rate only a little.
+constexpr double initialWeight = 6;
 constexpr double shortPrompt = 500;
 constexpr double longPrompt = 4000;
 
-/// The weight that is left of a sample when the next one comes: some sixty count.
-constexpr double keptPart = 0.984;
+/// Weight factor of older samples for each new one: some sixty samples count.
+constexpr double sampleDecay = 0.984;
 
-/// A sample that took much longer than expected met other work, or a slow engine, and is counted as
-/// this many times what was expected.
-constexpr double longestOverExpected = 2.5;
+/// A sample that took much longer than expected met other work or a slow engine. It is limited to
+/// this multiple of the expected time.
+constexpr double maxOverExpected = 2.5;
 
-constexpr double slowest = 500;
-constexpr double fastest = 2'000'000;
+constexpr double minPerSecond = 500;
+constexpr double maxPerSecond = 2'000'000;
 
-void addSample(ReadingRate &rate, double weight, double tokens, double seconds)
+void addSample(PrefillRate &rate, double weight, double tokens, double seconds)
 {
     rate.weight += weight;
     rate.tokens += weight * tokens;
@@ -35,15 +35,15 @@
     rate.tokensTimesSeconds += weight * tokens * seconds;
 }
 
-/// Seconds for each token, by least squares.
-double slopeOf(const ReadingRate &rate)
+/// Seconds per token, by least squares.
+double slopeOf(const PrefillRate &rate)
 {
-    const double spread = rate.weight * rate.tokensSquared - rate.tokens * rate.tokens;
-    const double together = rate.weight * rate.tokensTimesSeconds - rate.tokens * rate.seconds;
-    return spread > 0 ? together / spread : 0;
+    const double variance = rate.weight * rate.tokensSquared - rate.tokens * rate.tokens;
+    const double covariance = rate.weight * rate.tokensTimesSeconds - rate.tokens * rate.seconds;
+    return variance > 0 ? covariance / variance : 0;
 }
 
-double expectedSeconds(const ReadingRate &rate, double tokens)
+double expectedSeconds(const PrefillRate &rate, double tokens)
 {
     const double slope = 1 / rate.perSecond;
     const double overhead = std::max(0.0, (rate.seconds - slope * rate.tokens) / rate.weight);
@@ -52,26 +52,26 @@
 
 } // namespace
 
-ReadingRate::ReadingRate()
-    : perSecond(firstPerSecond)
+PrefillRate::PrefillRate()
+    : perSecond(initialPerSecond)
 {
     for (const double prompt : { shortPrompt, longPrompt })
-        addSample(*this, firstWeight / 2, prompt, firstOverhead + prompt / firstPerSecond);
+        addSample(*this, initialWeight / 2, prompt, initialOverhead + prompt / initialPerSecond);
 }
 
-void noteRead(ReadingRate &rate, double tokens, Span elapsed)
+void recordPrefill(PrefillRate &rate, double tokens, Span elapsed)
 {
     if (tokens <= 0)
         return;
-    const double most = expectedSeconds(rate, tokens) * longestOverExpected;
-    const double seconds = std::min(toSeconds(elapsed), most);
+    const double maxSeconds = expectedSeconds(rate, tokens) * maxOverExpected;
+    const double seconds = std::min(toSeconds(elapsed), maxSeconds);
     for (double *sum : { &rate.weight, &rate.tokens, &rate.seconds, &rate.tokensSquared,
                          &rate.tokensTimesSeconds })
-        *sum *= keptPart;
+        *sum *= sampleDecay;
     addSample(rate, 1, tokens, seconds);
     const double slope = slopeOf(rate);
     if (slope > 0)
-        rate.perSecond = std::clamp(1 / slope, slowest, fastest);
+        rate.perSecond = std::clamp(1 / slope, minPerSecond, maxPerSecond);
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/requests.cpp
+++ b/packages/gateway/src/requests.cpp
@@ -9,27 +9,28 @@
 
 namespace {
 
-/// A request without a deadline of its caller and its route.
-constexpr Span longestRequest = std::chrono::seconds(30);
+/// Timeout of a request without a deadline of its caller and its route.
+constexpr Span defaultRequestTimeout = std::chrono::seconds(30);
 
-/// A request that waits for an adapter is given up after this part of its objective, in hundredths:
-/// the rest is needed to read its prompt, and an answer after the objective is worth a third.
-constexpr int waitPercent = 75;
+/// A request that waits for an adapter is refused after this percentage of its objective: the rest
+/// is needed to read its prompt, and an answer after the objective is worth a third.
+constexpr int adapterWaitPercent = 75;
 
-/// After a stop was asked for, the balancer still sends requests of all kinds for so long.
-constexpr Span servesAllAfterStop = std::chrono::milliseconds(2500);
+/// After a stop request, the balancer keeps sending all kinds of requests for this time.
+constexpr Span stopServingTime = std::chrono::milliseconds(2500);
 
-/// The process leaves so long before the end of its grace.
+/// The process exits this long before the end of its grace period.
 constexpr Span stopMargin = std::chrono::milliseconds(500);
 
-/// A caller that is sent away by a host that stops finds another one at once.
-constexpr Span otherHostAnswers = std::chrono::milliseconds(50);
+/// Retry-after time of refusals by a stopping host: another host serves the retry at once.
+constexpr Span drainingRetryAfter = std::chrono::milliseconds(50);
 
-/// Saved retries of one host. The fleet may make about 50 more than its part of the requests.
-constexpr double savedRetriesOfFleet = 40;
+/// Retries that the fleet may save up, divided among its hosts. The fleet may make about 50 more
+/// than its share of the requests.
+constexpr double fleetRetryBurst = 40;
 
-/// Retries earned by one request. The fleet may make a fifth.
-constexpr double retriesEarned = 0.15;
+/// Retries earned per request. The fleet may retry a fifth of its requests.
+constexpr double retriesPerRequest = 0.15;
 
 void refuse(GatewayState &state, const RequestRecord &record, ResultCode code, Span retryAfter,
             Actions &actions)
@@ -39,18 +40,18 @@
     actions.refusals.push_back({ record.asked.request, code, isNotRun, retryAfter, record.digest });
 }
 
-void forget(GatewayState &state, RequestNumber request)
+void eraseRequest(GatewayState &state, RequestNumber request)
 {
     state.waiting.erase(request);
     state.requestDeadlines.erase(request);
     state.requests.erase(request);
 }
 
-/// While this host stops, a request that arrives late and may last longer than the process would be
-/// cut off. Another host can serve it whole.
-bool endsTooLate(const GatewayState &state, const RequestRecord &record, Instant now)
+/// Whether a request that arrives while this host stops may last longer than the process, which
+/// would break it off. Another host can serve it completely.
+bool mayOutliveProcess(const GatewayState &state, const RequestRecord &record, Instant now)
 {
-    if (!isStopping(state) || now < state.stopAskedAt + servesAllAfterStop)
+    if (!isStopping(state) || now < state.stopAskedAt + stopServingTime)
         return false;
     return record.deadline > state.stopAskedAt + state.self.stopGrace - stopMargin;
 }
@@ -65,23 +66,23 @@
     return isRepeatable && !record.hasAnswerBegun && record.mayHaveRun < record.mostAttempts;
 }
 
-UpstreamSign signOf(AttemptOutcome outcome)
+HealthSignal healthSignalOf(AttemptOutcome outcome)
 {
     switch (outcome) {
     case AttemptOutcome::Failed:
     case AttemptOutcome::FaultStated:
-        return UpstreamSign::Failed;
+        return HealthSignal::Failed;
     case AttemptOutcome::NotSent:
-        return UpstreamSign::Unreachable;
+        return HealthSignal::Unreachable;
     case AttemptOutcome::Done:
     case AttemptOutcome::NotRun:
     case AttemptOutcome::NotThere:
         break;
     }
-    return UpstreamSign::Answered;
+    return HealthSignal::Answered;
 }
 
-/// Whether \a outcome shows that the upstream lived when it had the request.
+/// Whether \a outcome shows that the upstream was alive after it received the request.
 bool hasAnswered(AttemptOutcome outcome)
 {
     return outcome == AttemptOutcome::Done || outcome == AttemptOutcome::NotRun
@@ -105,18 +106,20 @@
     return ResultCode::OutcomeUnknown;
 }
 
-/// Another upstream has the address now; the platform's list will say so within this time.
-constexpr Span strangerAvoidance = std::chrono::seconds(1);
+/// How long an upstream whose address another one has taken is avoided: the platform's list is
+/// updated within this time.
+constexpr Span replacedUpstreamAvoidance = std::chrono::seconds(1);
 
-/// The upstream did not have what this host thought it had.
-void noteNotThere(GatewayState &state, const RequestRecord &record, Instant now)
+/// Corrects the state of an upstream that did not have the model or adapter that this host
+/// expected.
+void handleNotThere(GatewayState &state, const RequestRecord &record, Instant now)
 {
     const auto found = state.upstreams.find(record.upstream);
     if (found == state.upstreams.end())
         return;
     EngineState &engine = found->second.engine;
     if (engine.models.empty() || record.asked.model.model.empty()) {
-        found->second.avoidedUntil = now + strangerAvoidance;
+        found->second.avoidedUntil = now + replacedUpstreamAvoidance;
         return;
     }
     if (record.asked.model.isBase()) {
@@ -127,8 +130,8 @@
                   [&](const LoadedAdapter &adapter) { return adapter.name == record.asked.model; });
 }
 
-/// Sends an idempotent request to another upstream after one that stated a fault of its own. Where
-/// that cannot be done, the caller gets the fault as it was stated.
+/// Sends an idempotent request to another upstream after a stated fault. If that is not possible,
+/// the caller gets the stated fault.
 bool repeatAfterFault(GatewayState &state, RequestRecord &record, Instant now, Actions &actions)
 {
     ++record.mayHaveRun;
@@ -139,9 +142,9 @@
         return false;
     record.excluded.insert(record.upstream);
     UpstreamNeed need = needOf(state, record);
-    need.isSentAtOnce = true;
+    need.isSentWithoutAdmission = true;
     const Upstream *other = chooseUpstream(state.upstreams, need, state.versions, draw(state), now);
-    if (!other || !takeRetry(budgetOf(state, record.service)))
+    if (!other || !takeRetry(retryBudgetOf(state, record.service)))
         return false;
     ++state.counters.retries[ResultCode::UpstreamFailed];
     const UpstreamId id = other->listed.id;
@@ -149,11 +152,12 @@
     return true;
 }
 
-/// Goes on with a request that an engine turned away since it still loads the adapter. Its retry
-/// was taken when it was sent.
-void placeAfterTry(GatewayState &state, RequestRecord &record, Instant now, Actions &actions)
+/// Places a request again that an engine rejected because its load was not done. Its retry was
+/// taken when it was sent.
+void placeAfterEarlyAttempt(GatewayState &state, RequestRecord &record, Instant now,
+                            Actions &actions)
 {
-    record.isAheadOfReport = false;
+    record.isEarlyAttempt = false;
     ++state.counters.retries[ResultCode::AdapterLoadFailed];
     place(state, record, now, actions);
 }
@@ -165,17 +169,17 @@
     return outcome == AttemptOutcome::NotRun || outcome == AttemptOutcome::NotThere;
 }
 
-RetryBudget &budgetOf(GatewayState &state, const ServiceId &service)
+RetryBudget &retryBudgetOf(GatewayState &state, const ServiceId &service)
 {
     RetryBudget &budget = state.retryBudgets[service];
     const double hosts = static_cast<double>(countKnown(state.members) + 1);
-    budget.mostSaved = std::max(savedRetriesOfFleet / hosts, 1.0);
-    budget.earned = retriesEarned;
+    budget.mostSaved = std::max(fleetRetryBurst / hosts, 1.0);
+    budget.earned = retriesPerRequest;
     return budget;
 }
 
-/// Forgets that \a record is at its upstream.
-void leaveUpstream(GatewayState &state, RequestRecord &record)
+/// Removes the request of \a record from the work in progress at its upstream.
+void detachFromUpstream(GatewayState &state, RequestRecord &record)
 {
     if (std::exchange(record.phase, RequestPhase::Waiting) != RequestPhase::AtUpstream)
         return;
@@ -190,9 +194,9 @@
 void refuseAndForget(GatewayState &state, RequestRecord &record, ResultCode code, Span retryAfter,
                      Actions &actions)
 {
-    leaveUpstream(state, record);
+    detachFromUpstream(state, record);
     refuse(state, record, code, retryAfter, actions);
-    forget(state, record.asked.request);
+    eraseRequest(state, record.asked.request);
 }
 
 void handle(GatewayState &state, const RequestArrived &event, Instant now, Actions &actions)
@@ -231,16 +235,17 @@
         refuseQuarantined(state, record, now, actions);
         return;
     }
-    const Span routeLimit = route->timeout > Span{} ? route->timeout : longestRequest;
+    const Span routeLimit = route->timeout > Span{} ? route->timeout : defaultRequestTimeout;
     record.deadline = now
             + (event.allowed > Span{} ? std::min(event.allowed, routeLimit) : routeLimit);
     state.requestDeadlines.set(event.request, record.deadline);
-    record.placedBy = std::min(record.deadline, now + route->objective * waitPercent / 100);
-    if (endsTooLate(state, record, now)) {
-        refuseAndForget(state, record, ResultCode::HostDraining, otherHostAnswers, actions);
+    record.placementDeadline = std::min(record.deadline,
+                                        now + route->objective * adapterWaitPercent / 100);
+    if (mayOutliveProcess(state, record, now)) {
+        refuseAndForget(state, record, ResultCode::HostDraining, drainingRetryAfter, actions);
         return;
     }
-    countFirstTry(budgetOf(state, record.service));
+    countFirstTry(retryBudgetOf(state, record.service));
     if (customer) {
         record.customer = customer->id;
         const MeterStart start = meterStart(state, now);
@@ -264,8 +269,8 @@
     ++state.counters.callersLeft;
     if (found->second.phase == RequestPhase::AtUpstream)
         actions.cancels.push_back({ event.request });
-    leaveUpstream(state, found->second);
-    forget(state, event.request);
+    detachFromUpstream(state, found->second);
+    eraseRequest(state, event.request);
 }
 
 void handle(GatewayState &state, const AnswerBegan &event, Instant now, Actions &)
@@ -278,9 +283,9 @@
     const auto upstream = state.upstreams.find(record.upstream);
     if (upstream != state.upstreams.end())
         noteAnswered(state.quarantine, lifeOf(upstream->second), record.sentAt);
-    if (record.isSentToIdle && !record.asked.model.model.empty()) {
-        noteRead(state.readingRates[record.service],
-                 static_cast<double>(record.asked.promptTokens.count), now - record.sentAt);
+    if (record.isEngineIdle && !record.asked.model.model.empty()) {
+        recordPrefill(state.prefillRates[record.service],
+                      static_cast<double>(record.asked.promptTokens.count), now - record.sentAt);
     }
 }
 
@@ -290,30 +295,30 @@
     if (found == state.requests.end() || found->second.attempt != event.attempt)
         return;
     RequestRecord &record = found->second;
-    leaveUpstream(state, record);
+    detachFromUpstream(state, record);
     const auto upstream = state.upstreams.find(record.upstream);
     if (upstream != state.upstreams.end())
-        noteSign(upstream->second, signOf(event.outcome), now);
+        recordHealth(upstream->second, healthSignalOf(event.outcome), now);
     if (event.isCutOff && event.outcome == AttemptOutcome::Failed)
         noteCutOff(state, record, now, actions);
     else if (upstream != state.upstreams.end() && hasAnswered(event.outcome))
         noteAnswered(state.quarantine, lifeOf(upstream->second), record.sentAt);
     if (event.outcome == AttemptOutcome::Done)
         clearSuspicions(state.quarantine, record.digest);
-    if (record.isAheadOfReport)
-        noteTryEnded(state, record, event.outcome, now);
-    if (record.isAheadOfReport && isTurnedAway(event.outcome) && now < record.deadline) {
-        placeAfterTry(state, record, now, actions);
+    if (record.isEarlyAttempt)
+        handleEarlyAttemptEnd(state, record, event.outcome, now);
+    if (record.isEarlyAttempt && isTurnedAway(event.outcome) && now < record.deadline) {
+        placeAfterEarlyAttempt(state, record, now, actions);
         return;
     }
-    if (std::exchange(record.isAheadOfReport, false))
-        giveBackRetry(budgetOf(state, record.service));
+    if (std::exchange(record.isEarlyAttempt, false))
+        giveBackRetry(retryBudgetOf(state, record.service));
     if (event.outcome == AttemptOutcome::FaultStated
         && repeatAfterFault(state, record, now, actions))
         return;
     if (event.outcome == AttemptOutcome::Done || event.outcome == AttemptOutcome::FaultStated) {
         ++state.counters.answered;
-        forget(state, event.request);
+        eraseRequest(state, event.request);
         return;
     }
     record.hasAnswerBegun = record.hasAnswerBegun || event.hasAnswerBegun;
@@ -321,15 +326,15 @@
     if (event.outcome == AttemptOutcome::Failed)
         ++record.mayHaveRun;
     if (event.outcome == AttemptOutcome::NotThere)
-        noteNotThere(state, record, now);
+        handleNotThere(state, record, now);
     const ResultCode cause = codeOf(event.outcome);
-    // An attempt that reached no upstream is no load on any, so it costs no retry.
+    // An attempt that reached no upstream adds no load, so it costs no retry.
     const bool isFree = event.outcome == AttemptOutcome::NotSent;
     if (!mayRepeat(record, event.outcome) || now >= record.deadline) {
         refuseAndForget(state, record, cause, soon, actions);
         return;
     }
-    if (!isFree && !takeRetry(budgetOf(state, record.service))) {
+    if (!isFree && !takeRetry(retryBudgetOf(state, record.service))) {
         refuseAndForget(state, record, record.mayHaveRun > 0 ? cause : ResultCode::RetryBudgetSpent,
                         soon, actions);
         return;
@@ -356,7 +361,7 @@
             actions.cancels.push_back({ *request });
             const auto upstream = state.upstreams.find(record.upstream);
             if (upstream != state.upstreams.end() && !record.hasAnswerBegun)
-                noteSign(upstream->second, UpstreamSign::Failed, now);
+                recordHealth(upstream->second, HealthSignal::Failed, now);
         }
         refuseAndForget(state, record,
                         record.mayHaveRun > 0 ? ResultCode::UpstreamSilent
--- a/packages/gateway/src/stated_limit.cpp
+++ b/packages/gateway/src/stated_limit.cpp
@@ -6,49 +6,50 @@
 
 namespace {
 
-constexpr Span forgottenAfterSilence = std::chrono::seconds(30);
+constexpr Span limitExpiry = std::chrono::seconds(30);
 
-/// A limit that was not named for so long may have ended unheard.
-constexpr Span certainFor = std::chrono::seconds(3);
+/// A limit that was not stated for this time may have ended without an answer that shows it.
+constexpr Span limitValidity = std::chrono::seconds(3);
 
-/// Waits above this all say: elsewhere, if there is anywhere.
-constexpr double longestWait = 2;
+/// Cap in seconds: longer waits do not change the choice of another upstream.
+constexpr double maxLimitWait = 2;
 
 } // namespace
 
-LimitChange noteLimit(StatedLimit &limit, const LimitWord &word)
+LimitChange updateLimit(StatedLimit &limit, const LimitObservation &observation)
 {
-    if (word.start < limit.start)
+    if (observation.start < limit.start)
         return LimitChange::None;
-    if (word.start > limit.start)
-        limit = { 0, word.start, {}, false, {} };
-    if (word.perSecond <= 0) {
-        const bool isNewer = word.askedAt > limit.namedAt && (!word.isReport || limit.isInReports);
+    if (observation.start > limit.start)
+        limit = { 0, observation.start, {}, false, {} };
+    if (observation.perSecond <= 0) {
+        const bool isNewer = observation.requestSentAt > limit.statedAt
+                && (!observation.isReport || limit.isInReports);
         if (limit.perSecond <= 0 || !isNewer)
             return LimitChange::None;
         limit.perSecond = 0;
-        limit.endedAt = word.askedAt;
+        limit.endedAt = observation.requestSentAt;
         return LimitChange::Ended;
     }
-    if (word.heardAt <= limit.namedAt)
+    if (observation.receivedAt <= limit.statedAt)
         return LimitChange::None;
-    const bool isSame = limit.perSecond == word.perSecond;
-    limit.perSecond = word.perSecond;
-    limit.namedAt = word.heardAt;
-    limit.isInReports = limit.isInReports || word.isReport;
+    const bool isSame = limit.perSecond == observation.perSecond;
+    limit.perSecond = observation.perSecond;
+    limit.statedAt = observation.receivedAt;
+    limit.isInReports = limit.isInReports || observation.isReport;
     return isSame ? LimitChange::Renewed : LimitChange::Begun;
 }
 
 bool isInForce(const StatedLimit &limit, Instant now)
 {
-    return limit.perSecond > 0 && now - limit.namedAt < forgottenAfterSilence;
+    return limit.perSecond > 0 && now - limit.statedAt < limitExpiry;
 }
 
-double waitUnder(const StatedLimit &limit, Instant now)
+double expectedLimitWait(const StatedLimit &limit, Instant now)
 {
-    if (!isInForce(limit, now) || now - limit.namedAt >= certainFor)
+    if (!isInForce(limit, now) || now - limit.statedAt >= limitValidity)
         return 0;
-    return std::min(1 / limit.perSecond, longestWait);
+    return std::min(1 / limit.perSecond, maxLimitWait);
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/upstreams.cpp
+++ b/packages/gateway/src/upstreams.cpp
@@ -7,22 +7,22 @@
 
 namespace {
 
-/// Weight of the newest request in the average of failures: the last ten or so count.
+/// Weight of the newest request in the moving average of failures: about the last ten count.
 constexpr double failureWeight = 0.12;
 
-/// An upstream that failed is avoided for this long, doubled with each failure in a row. A crashed
-/// server comes back within seconds.
-constexpr Span firstAvoidance = std::chrono::milliseconds(150);
-constexpr std::uint32_t mostDoublings = 4;
+/// Time for which an upstream is avoided after a failure, doubled with each failure in a row. A
+/// crashed server returns within seconds.
+constexpr Span initialAvoidance = std::chrono::milliseconds(150);
+constexpr std::uint32_t maxDoublings = 4;
 
-/// Keeps what is known of a load over the next view of its engine, and adds it to that view.
-void followLoad(Upstream &upstream, LoadingAdapter &adapter, Instant now)
+/// Keeps the tracked state of a load across reports, and adds it to the new report.
+void trackLoad(Upstream &upstream, LoadingAdapter &adapter, Instant now)
 {
-    const bool isSinceKnown = adapter.since.micros != 0;
+    const bool hasOrderTime = adapter.since.micros != 0;
     const auto [entry, isNew] = upstream.loads.try_emplace(adapter.name);
-    LoadUnderWay &load = entry->second;
-    if (isNew || isSinceKnown)
-        load.since = isSinceKnown ? adapter.since : now;
+    LoadInProgress &load = entry->second;
+    if (isNew || hasOrderTime)
+        load.since = hasOrderTime ? adapter.since : now;
     load.isHeldLately = load.isHeldLately || adapter.isHeldLately;
     adapter.since = load.since;
     adapter.isHeldLately = load.isHeldLately;
@@ -60,14 +60,14 @@
                        [&](const LoadingAdapter &adapter) { return adapter.name == name; });
 }
 
-double valueAt(const DecayedSum &sum, Span life, Instant now)
+double valueAt(const DecayedSum &sum, Span decayTime, Instant now)
 {
-    return sum.value * std::exp(-toSeconds(now - sum.at) / toSeconds(life));
+    return sum.value * std::exp(-toSeconds(now - sum.at) / toSeconds(decayTime));
 }
 
-void add(DecayedSum &sum, double value, Span life, Instant now)
+void add(DecayedSum &sum, double value, Span decayTime, Instant now)
 {
-    sum.value = valueAt(sum, life, now) + value;
+    sum.value = valueAt(sum, decayTime, now) + value;
     sum.at = now;
 }
 
@@ -78,54 +78,54 @@
             && a.engine.start == b.engine.start;
 }
 
-void noteHolder(LastHolders &lastHolders, const ModelName &adapter, const UpstreamId &engine)
+void recordLastEngine(LastEngines &lastHolders, const ModelName &adapter, const UpstreamId &engine)
 {
     const std::uint64_t serial = lastHolders.nextSerial++;
-    LastHolders::Holder &holder = lastHolders.holders[adapter];
-    lastHolders.adapters.erase(holder.serial);
-    holder = { engine, serial };
+    LastEngines::Entry &entry = lastHolders.entries[adapter];
+    lastHolders.adapters.erase(entry.serial);
+    entry = { engine, serial };
     lastHolders.adapters[serial] = adapter;
-    if (lastHolders.adapters.size() <= mostLastHolders)
+    if (lastHolders.adapters.size() <= maxLastEngines)
         return;
     const auto oldest = lastHolders.adapters.begin();
-    lastHolders.holders.erase(oldest->second);
+    lastHolders.entries.erase(oldest->second);
     lastHolders.adapters.erase(oldest);
 }
 
-const UpstreamId *findHolder(const LastHolders &lastHolders, const ModelName &adapter)
+const UpstreamId *findLastEngine(const LastEngines &lastHolders, const ModelName &adapter)
 {
-    const auto found = lastHolders.holders.find(adapter);
-    return found == lastHolders.holders.end() ? nullptr : &found->second.engine;
+    const auto found = lastHolders.entries.find(adapter);
+    return found == lastHolders.entries.end() ? nullptr : &found->second.engine;
 }
 
 void beginLoad(Upstream &upstream, const ModelName &adapter, bool isHeldLately, Instant now)
 {
     upstream.loads.erase(adapter);
     upstream.engine.loading.push_back({ adapter, now, isHeldLately });
-    followLoad(upstream, upstream.engine.loading.back(), now);
+    trackLoad(upstream, upstream.engine.loading.back(), now);
 }
 
-void setEngine(Upstream &upstream, EngineState state, LastHolders &lastHolders, Instant now)
+void setEngine(Upstream &upstream, EngineState state, LastEngines &lastHolders, Instant now)
 {
     const bool isRestarted = state.start != upstream.engine.start;
     if (isRestarted)
         upstream.loads.clear();
     for (const LoadedAdapter &adapter : upstream.engine.ready) {
         if (!isRestarted && !state.findReady(adapter.name))
-            noteHolder(lastHolders, adapter.name, upstream.listed.id);
+            recordLastEngine(lastHolders, adapter.name, upstream.listed.id);
     }
     upstream.engine = std::move(state);
     std::erase_if(upstream.loads,
                   [&](const auto &entry) { return !upstream.engine.isLoading(entry.first); });
     for (LoadingAdapter &adapter : upstream.engine.loading)
-        followLoad(upstream, adapter, now);
+        trackLoad(upstream, adapter, now);
     for (const auto &[name, load] : upstream.loads) {
         if (load.isDone)
             showReady(upstream.engine, { name, load.version });
     }
 }
 
-void noteLoadDone(Upstream &upstream, const ModelName &adapter)
+void recordLoadDone(Upstream &upstream, const ModelName &adapter)
 {
     const auto load = upstream.loads.find(adapter);
     if (load == upstream.loads.end())
@@ -139,19 +139,19 @@
     return now < upstream.usableUntil && now < upstream.killedAt;
 }
 
-void noteSign(Upstream &upstream, UpstreamSign sign, Instant now)
+void recordHealth(Upstream &upstream, HealthSignal signal, Instant now)
 {
-    const double failed = sign == UpstreamSign::Answered ? 0 : 1;
-    upstream.failureShare += (failed - upstream.failureShare) * failureWeight;
-    if (sign == UpstreamSign::Answered) {
+    const double failed = signal == HealthSignal::Answered ? 0 : 1;
+    upstream.failureRate += (failed - upstream.failureRate) * failureWeight;
+    if (signal == HealthSignal::Answered) {
         upstream.failuresInARow = 0;
         upstream.avoidedUntil = Instant{};
         return;
     }
-    const std::uint32_t doublings = std::min(upstream.failuresInARow, mostDoublings);
+    const std::uint32_t doublings = std::min(upstream.failuresInARow, maxDoublings);
     ++upstream.failuresInARow;
-    if (sign == UpstreamSign::Unreachable || upstream.failuresInARow > 1)
-        upstream.avoidedUntil = now + firstAvoidance * (1LL << doublings);
+    if (signal == HealthSignal::Unreachable || upstream.failuresInARow > 1)
+        upstream.avoidedUntil = now + initialAvoidance * (1LL << doublings);
 }
 
 } // namespace azurewell::gateway
