--- a/packages/gateway/src/weight_store.cpp
+++ b/packages/gateway/src/weight_store.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// Loads that the weight store brings at full speed at once: half an engine's worth each, at least
-/// 8 (8 for 9 and for 18 engines, 48 for 90, as deployments state it). With more on their way each
-/// takes longer in proportion, so that none would come in time.
-constexpr std::size_t fewestLoadsAtOnce = 8;
-constexpr std::size_t enginesOfOneLoad = 2;
+/// Number of concurrent loads that the weight store delivers at full speed: one for two engines, at
+/// least 8 (8 for 9 and for 18 engines, 48 for 90, as deployments state it). With more, each load
+/// slows down in proportion and none would be done in time.
+constexpr std::size_t minConcurrentLoads = 8;
+constexpr std::size_t enginesPerConcurrentLoad = 2;
 
-/// A load that would begin later than this is refused: with the load itself and the prompt after it
-/// the answer would begin after a second.
-constexpr Span longestLoadQueue = std::chrono::milliseconds(350);
+/// A load that would start later than this is refused: with the load itself and the prompt after
+/// it, the answer would start after a second.
+constexpr Span maxLoadQueueTime = std::chrono::milliseconds(350);
 
-/// How long loads of the adapters of \a model take from the weight store, as learnt.
+/// Learnt time of adapter loads of \a model from the weight store.
 Span loadTimeOf(const GatewayState &state, const std::string &model)
 {
     const auto found = state.loadTimes.find(model);
@@ -24,19 +24,19 @@
                                           : found->second.fromStore.expected;
 }
 
-std::size_t loadsAtOnce(const GatewayState &state)
+std::size_t maxConcurrentLoads(const GatewayState &state)
 {
     std::size_t engines = 0;
     for (const auto &[id, upstream] : state.upstreams)
         engines += upstream.engine.models.empty() ? 0 : 1;
-    return std::max(fewestLoadsAtOnce, engines / enginesOfOneLoad);
+    return std::max(minConcurrentLoads, engines / enginesPerConcurrentLoad);
 }
 
-/// Loads on their way over all engines, as far as known. Reports tell of a load's end only some 150
-/// ms later, so one counts for as long as loads take of late. Where they take longer, fewer begin:
-/// with a fixed time, loads that share a crowded weight store were taken for done while they were
-/// not, more began, and none came in time.
-std::size_t loadsOnTheirWay(const GatewayState &state, Instant now)
+/// Loads in progress from the weight store over all engines, as far as known. Reports show the end
+/// of a load some 150 ms late, so a load counts for the currently learnt load time. If loads take
+/// longer, fewer are started: with a fixed time, loads on an overloaded weight store counted as
+/// done too early, more were started, and none was done in time.
+std::size_t countLoadsInProgress(const GatewayState &state, Instant now)
 {
     std::size_t loads = 0;
     for (const auto &[id, upstream] : state.upstreams) {
@@ -48,19 +48,19 @@
     return loads;
 }
 
-/// Loads that this host may have waiting so that the last of them begins in time: its part of what
-/// the weight store brings within that time.
-std::size_t mostQueued(const GatewayState &state, const std::string &model)
+/// Maximum number of loads queued at this host so that the last one starts in time: the host's
+/// share of what the weight store delivers within that time.
+std::size_t maxQueuedLoads(const GatewayState &state, const std::string &model)
 {
-    const double perSecond = static_cast<double>(loadsAtOnce(state))
+    const double perSecond = static_cast<double>(maxConcurrentLoads(state))
             / toSeconds(loadTimeOf(state, model));
     const double hosts = static_cast<double>(countKnown(state.members) + 1);
-    const double queued = perSecond * toSeconds(longestLoadQueue) / hosts;
+    const double queued = perSecond * toSeconds(maxLoadQueueTime) / hosts;
     return std::max<std::size_t>(1, static_cast<std::size_t>(queued));
 }
 
-/// Loads that wait at this host for the weight store.
-std::size_t queuedLoads(const GatewayState &state)
+/// Loads that wait for the weight store at this host.
+std::size_t countQueuedLoads(const GatewayState &state)
 {
     std::size_t queued = 0;
     for (const auto &[id, engine] : state.engines)
@@ -72,12 +72,12 @@
 
 bool isStoreFull(const GatewayState &state, Instant now)
 {
-    return loadsOnTheirWay(state, now) >= loadsAtOnce(state);
+    return countLoadsInProgress(state, now) >= maxConcurrentLoads(state);
 }
 
 bool isStoreQueueFull(const GatewayState &state, const std::string &model)
 {
-    return queuedLoads(state) >= mostQueued(state, model);
+    return countQueuedLoads(state) >= maxQueuedLoads(state, model);
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/tests/choose_upstream_test.cpp
+++ b/packages/gateway/tests/choose_upstream_test.cpp
@@ -28,20 +28,20 @@
         UpstreamNeed need;
         need.model = adapter;
         need.zone.value = zone;
-        need.readPerSecond = 22'000;
+        need.prefillTokensPerSecond = 22'000;
         constexpr std::uint32_t places = 5;
         return *chooseEngineToLoad(this->upstreams, need, this->lastHolders, places, this->now);
     }
 
     Instant now{ 1'000'000'000 };
     UpstreamMap upstreams;
-    LastHolders lastHolders;
+    LastEngines lastHolders;
 };
 
-TEST_F(ChooseEngineTest, AnAdapterThatNobodyHeldIsLoadedInTheZoneOfItsCaller)
+TEST_F(ChooseEngineTest, LoadsANewAdapterInTheZoneOfItsCaller)
 {
-    // Most adapters are asked for once or twice in a minute. Loaded anywhere, two of three prompts
-    // of 18 KB cross between zones.
+    // Most adapters are requested once or twice a minute. If they were loaded in any zone, two of
+    // three prompts of 18 KB would cross zones.
     std::set<UpstreamId> chosen;
     for (int adapter = 0; adapter < 40; ++adapter) {
         const Upstream &engine = this->choose({ "m", "a" + std::to_string(adapter) });
@@ -51,24 +51,24 @@
     EXPECT_EQ(chosen.size(), 3U);
 }
 
-TEST_F(ChooseEngineTest, AnAdapterComesBackToTheEngineThatHeldItLast)
+TEST_F(ChooseEngineTest, LoadsAnAdapterAtTheEngineThatHeldItLast)
 {
-    // Callers of another zone ask for it next. Loaded there, it would be fetched from the weight
+    // Callers of another zone request it next. Loading it there would fetch it from the weight
     // store a second time.
     const ModelName adapter{ "m", "a" };
-    noteHolder(this->lastHolders, adapter, UpstreamId{ "e2" });
+    recordLastEngine(this->lastHolders, adapter, UpstreamId{ "e2" });
     EXPECT_EQ(this->choose(adapter, "far").listed.id.value, "e2");
 }
 
-TEST_F(ChooseEngineTest, AnEngineWithMuchToReadIsLeftOut)
+TEST_F(ChooseEngineTest, SkipsAnEngineWithALargePromptBacklog)
 {
     const ModelName adapter{ "m", "a" };
-    noteHolder(this->lastHolders, adapter, UpstreamId{ "e2" });
+    recordLastEngine(this->lastHolders, adapter, UpstreamId{ "e2" });
     add(this->upstreams.at(UpstreamId{ "e2" }).ownPrompts, 40'000, promptLife, this->now);
     EXPECT_NE(this->choose(adapter).listed.id.value, "e2");
 }
 
-TEST_F(ChooseEngineTest, WhatAnEngineUnloadedIsRememberedUntilItStartsAnew)
+TEST_F(ChooseEngineTest, RemembersUnloadedAdaptersUntilTheEngineRestarts)
 {
     Upstream &engine = this->upstreams.at(UpstreamId{ "e1" });
     EngineState state = engine.engine;
@@ -77,27 +77,27 @@
     state.ready = { { { "m", "b" }, 1 } };
     setEngine(engine, state, this->lastHolders, this->now);
     EXPECT_EQ(this->choose({ "m", "a" }).listed.id.value, "e1");
-    // A new life of the engine has nothing of before in memory.
+    // A restarted engine has nothing in its host memory.
     state.ready.clear();
     ++state.start;
     setEngine(engine, state, this->lastHolders, this->now);
-    EXPECT_EQ(findHolder(this->lastHolders, ModelName{ "m", "b" }), nullptr);
+    EXPECT_EQ(findLastEngine(this->lastHolders, ModelName{ "m", "b" }), nullptr);
 }
 
-// Guards against an adapter that is asked for all the time and forgotten with its oldest entry.
-TEST(LastHolders, KeepAnAdapterThatWasHeldAgainAfterItsFirstTime)
+// Guards against forgetting a frequently used adapter together with its oldest entry.
+TEST(LastEngines, KeepsAnAdapterThatIsRecordedAgain)
 {
-    LastHolders lastHolders;
+    LastEngines lastHolders;
     const ModelName popular{ "m", "popular" };
     const UpstreamId engine{ "e" };
-    noteHolder(lastHolders, popular, engine);
-    for (std::size_t other = 0; other < mostLastHolders; ++other) {
-        noteHolder(lastHolders, { "m", "a" + std::to_string(other) }, engine);
-        noteHolder(lastHolders, popular, engine);
+    recordLastEngine(lastHolders, popular, engine);
+    for (std::size_t other = 0; other < maxLastEngines; ++other) {
+        recordLastEngine(lastHolders, { "m", "a" + std::to_string(other) }, engine);
+        recordLastEngine(lastHolders, popular, engine);
     }
-    EXPECT_NE(findHolder(lastHolders, popular), nullptr);
-    EXPECT_EQ(findHolder(lastHolders, { "m", "a0" }), nullptr);
-    EXPECT_EQ(lastHolders.holders.size(), mostLastHolders);
+    EXPECT_NE(findLastEngine(lastHolders, popular), nullptr);
+    EXPECT_EQ(findLastEngine(lastHolders, { "m", "a0" }), nullptr);
+    EXPECT_EQ(lastHolders.entries.size(), maxLastEngines);
 }
 
 } // namespace
--- a/packages/gateway/tests/load_times_test.cpp
+++ b/packages/gateway/tests/load_times_test.cpp
@@ -9,28 +9,29 @@
 
 using std::chrono::milliseconds;
 
-struct Played
+struct SimulationResult
 {
-    double missedPart = 0; ///< Requests turned away, over loads.
-    Span lost{};           ///< From a load's end to the request that was taken, on average.
+    double rejectionsPerLoad = 0; ///< Rejected requests per load.
+    Span delay{};                 ///< Average time from the end of a load to the accepted request.
 };
 
-/// Loads that take \a truth, one after the other, tried when \a time says.
-Played playLoads(LoadTime &time, Span truth, int loads)
+/// Simulates sequential loads of length \a actualTime with requests sent at the time that \a time
+/// expects.
+SimulationResult simulateLoads(LoadTime &time, Span actualTime, int loads)
 {
     constexpr Span repeat = milliseconds(30);
-    int missed = 0;
-    Span lost{};
+    int rejected = 0;
+    Span delay{};
     for (int load = 0; load < loads; ++load) {
         Span elapsed = time.expected;
-        for (; elapsed < truth; elapsed += repeat) {
-            noteMissed(time, elapsed);
-            ++missed;
+        for (; elapsed < actualTime; elapsed += repeat) {
+            recordRejected(time, elapsed);
+            ++rejected;
         }
-        noteTaken(time, elapsed);
-        lost += elapsed - truth;
+        recordAccepted(time, elapsed);
+        delay += elapsed - actualTime;
     }
-    return { static_cast<double>(missed) / loads, lost / loads };
+    return { static_cast<double>(rejected) / loads, delay / loads };
 }
 
 class LoadTimeOf : public testing::TestWithParam<Span>
@@ -39,61 +40,61 @@
 
 TEST_P(LoadTimeOf, IsLearntFromAFewDozenLoads)
 {
-    // Adapters of another size, or another weight store, take another time than the one that a host
-    // starts with. If that stayed fixed, each request would be turned away a few times, or wait for
-    // nothing.
+    // Adapters of another size, or another weight store, have other load times than the initial
+    // estimate. With a fixed estimate each request would be rejected several times or wait
+    // needlessly.
     LoadTime time = LoadTimes().fromStore;
-    playLoads(time, GetParam(), 60);
-    const Played played = playLoads(time, GetParam(), 200);
-    EXPECT_LT(played.missedPart, 0.25);
-    EXPECT_LT(played.lost, GetParam() / 10 + milliseconds(15));
+    simulateLoads(time, GetParam(), 60);
+    const SimulationResult result = simulateLoads(time, GetParam(), 200);
+    EXPECT_LT(result.rejectionsPerLoad, 0.25);
+    EXPECT_LT(result.delay, GetParam() / 10 + milliseconds(15));
 }
 
 INSTANTIATE_TEST_SUITE_P(Engines, LoadTimeOf,
                          testing::Values(milliseconds(80), milliseconds(250), milliseconds(600),
                                          milliseconds(2500)));
 
-TEST(LoadTime, OfACrowdedWeightStoreIsForgottenSoon)
+TEST(LoadTime, ShrinksAfterAWeightStoreOverloadEnds)
 {
-    // A crowded weight store makes each load take three times as long for a while. A host that kept
-    // that in mind would let a place lie idle for half a second after each load.
+    // An overloaded weight store makes loads take three times as long for a while. If the estimate
+    // stayed, a slot would be idle for half a second after each load.
     LoadTime time = LoadTimes().fromStore;
-    playLoads(time, milliseconds(250), 40);
-    playLoads(time, milliseconds(750), 12);
-    playLoads(time, milliseconds(250), 60);
+    simulateLoads(time, milliseconds(250), 40);
+    simulateLoads(time, milliseconds(750), 12);
+    simulateLoads(time, milliseconds(250), 60);
     EXPECT_LT(time.expected, milliseconds(330));
 }
 
-TEST(LoadTime, OfAQuickLoadIsKeptApart)
+TEST(LoadTime, IsSeparateForLoadsFromHostMemory)
 {
-    // What an engine held lately comes back ten times as fast; expected after the same time as any
-    // other load, it would save its caller nothing.
+    // An adapter in host memory loads ten times as fast. With the same estimate as for other loads,
+    // its caller would gain nothing.
     LoadTimes times;
-    LoadUnderWay quick;
-    quick.since = Instant{ 1'000'000 };
-    quick.isHeldLately = true;
-    LoadUnderWay fetched = quick;
-    fetched.isHeldLately = false;
-    const Instant soon = quick.since + milliseconds(50);
-    EXPECT_TRUE(isTryDue(times, quick, soon));
-    EXPECT_FALSE(isTryDue(times, fetched, soon));
+    LoadInProgress fromMemory;
+    fromMemory.since = Instant{ 1'000'000 };
+    fromMemory.isHeldLately = true;
+    LoadInProgress fromWeightStore = fromMemory;
+    fromWeightStore.isHeldLately = false;
+    const Instant soon = fromMemory.since + milliseconds(50);
+    EXPECT_TRUE(isEarlyAttemptDue(times, fromMemory, soon));
+    EXPECT_FALSE(isEarlyAttemptDue(times, fromWeightStore, soon));
 }
 
-TEST(LoadTime, ALoadIsTriedAFewTimesOnly)
+TEST(LoadTime, LimitsEarlyAttemptsPerLoad)
 {
     // A load that never ends would otherwise use up the retries of all other requests.
     LoadTimes times;
-    LoadUnderWay load;
+    LoadInProgress load;
     load.since = Instant{ 1'000'000 };
     Instant now = load.since;
     int tries = 0;
     for (int step = 0; step < 500; ++step) {
         now = now + milliseconds(10);
-        if (!isTryDue(times, load, now))
+        if (!isEarlyAttemptDue(times, load, now))
             continue;
-        beginTry(load, now);
-        EXPECT_FALSE(isTryTaken(load, now + milliseconds(2)));
-        endTry(load, now + milliseconds(2));
+        beginEarlyAttempt(load, now);
+        EXPECT_FALSE(isEarlyAttemptAccepted(load, now + milliseconds(2)));
+        endEarlyAttempt(load, now + milliseconds(2));
         ++tries;
     }
     EXPECT_EQ(tries, 3);
--- a/packages/gateway/tests/order_rights_test.cpp
+++ b/packages/gateway/tests/order_rights_test.cpp
@@ -5,7 +5,7 @@
 namespace azurewell::gateway {
 namespace {
 
-/// Three hosts of one zone, seen from the one that ranks first for the engine.
+/// Three hosts of one zone, from the view of the one that ranks first for the engine.
 class OrderRightsTest : public testing::Test
 {
 protected:
@@ -17,36 +17,37 @@
         const std::vector<std::string> names{ "a", "b", "c" };
         this->members.self.value = names.front();
         for (const std::string &name : names)
-            noteMember(this->members, memberCalled(name));
+            noteMember(this->members, memberNamed(name));
         const std::vector<HostId> ranked = rankedHosts(this->members, ZoneId{ "z" }, "e");
         this->members = {};
         this->members.zone.value = "z";
         this->members.self = ranked[0];
         this->others = { ranked[1], ranked[2] };
-        this->hear();
+        this->receiveHeartbeats();
     }
 
-    Member memberCalled(const std::string &name) const
+    Member memberNamed(const std::string &name) const
     {
         return { HostId{ name }, ZoneId{ "z" }, { name, 1 }, Incarnation{ 1 },
                  this->now,      this->now,     false,       false };
     }
 
-    /// The other hosts are heard now.
-    void hear()
+    /// Receives a heartbeat from each of the other hosts.
+    void receiveHeartbeats()
     {
         for (const HostId &other : this->others)
-            noteMember(this->members, this->memberCalled(other.value));
+            noteMember(this->members, this->memberNamed(other.value));
     }
 
-    /// Time passes in ticks, with heartbeats where \a isHeard and reports that show \a orders.
-    void pass(Span span, bool isHeard, std::uint64_t orders)
+    /// Advances the time by \a span in ticks, with heartbeats if \a isReachable and reports with
+    /// \a orders.
+    void advance(Span span, bool isReachable, std::uint64_t orders)
     {
         const Instant end = this->now + span;
         while (this->now < end) {
             this->now = this->now + std::chrono::milliseconds(100);
-            if (isHeard)
-                this->hear();
+            if (isReachable)
+                this->receiveHeartbeats();
             updateMembers(this->members, this->now);
             EngineState state;
             state.ordersTaken = orders;
@@ -54,7 +55,7 @@
         }
     }
 
-    bool may()
+    bool mayOrderNow()
     {
         return mayOrder(this->rights, this->engine, this->members, this->start, FencingNumber{ 7 },
                         this->now);
@@ -68,116 +69,117 @@
     OrderStart start;
 };
 
-TEST_F(OrderRightsTest, BeginAfterTheCountHasStoodStill)
+TEST_F(OrderRightsTest, BeginOnlyAfterTheOrderCountWasUnchanged)
 {
-    // A new process finds an engine at which another host may just have ordered. It must not order
-    // until that host's last order is past the lease.
-    this->pass(std::chrono::milliseconds(3000), true, 5);
-    EXPECT_FALSE(this->may());
-    this->pass(std::chrono::milliseconds(1000), true, 5);
-    EXPECT_TRUE(this->may());
+    // Another host may just have ordered at the engine when a new process starts. The new one must
+    // not order until the other host's last order is past the lease.
+    this->advance(std::chrono::milliseconds(3000), true, 5);
+    EXPECT_FALSE(this->mayOrderNow());
+    this->advance(std::chrono::milliseconds(1000), true, 5);
+    EXPECT_TRUE(this->mayOrderNow());
     EXPECT_EQ(this->rights.fencing, FencingNumber{ 7 });
 }
 
-TEST_F(OrderRightsTest, AreLostWhenTheCountMovesWithoutThisHost)
+TEST_F(OrderRightsTest, AreLostWhenAnotherHostOrders)
 {
-    // A host was paused, another took over. The count that moved is all that it can see of that.
-    this->pass(std::chrono::seconds(5), true, 5);
-    ASSERT_TRUE(this->may());
-    this->pass(std::chrono::milliseconds(100), true, 6);
-    EXPECT_FALSE(this->may());
+    // A host was paused and another one took over. The changed order count is the only sign of it.
+    this->advance(std::chrono::seconds(5), true, 5);
+    ASSERT_TRUE(this->mayOrderNow());
+    this->advance(std::chrono::milliseconds(100), true, 6);
+    EXPECT_FALSE(this->mayOrderNow());
 }
 
-TEST_F(OrderRightsTest, AreNotBegunWithoutMostOfTheZone)
+TEST_F(OrderRightsTest, DoNotBeginWithoutAMajorityOfTheZone)
 {
-    // All others fall silent: they may be dead, or this host is cut off while it still reaches the
-    // engine, and they have chosen another host to order there.
-    this->pass(std::chrono::milliseconds(3000), true, 5);
-    this->pass(std::chrono::seconds(8), false, 5);
-    EXPECT_FALSE(this->may());
+    // All other hosts become unreachable: they may be dead, or this host is partitioned from them
+    // but still reaches the engine, and they have chosen another coordinator.
+    this->advance(std::chrono::milliseconds(3000), true, 5);
+    this->advance(std::chrono::seconds(8), false, 5);
+    EXPECT_FALSE(this->mayOrderNow());
 }
 
-TEST_F(OrderRightsTest, AreNotBegunInAnotherZoneWhoseHostsAreSilent)
+TEST_F(OrderRightsTest, DoNotBeginInAnotherZoneThatIsUnreachable)
 {
-    // A zone is cut off whose engines are still reached from outside. Its hosts hear each other and
-    // go on with their orders; a host of another zone that hears most of the fleet must not begin.
-    const auto hearZone = [this](Members &to) {
+    // A zone is partitioned, but its engines are reachable from outside. Its hosts reach each other
+    // and keep ordering; a host of another zone that reaches most of the fleet must not start.
+    const auto receiveZoneHeartbeats = [this](Members &to) {
         for (const std::string &name : { "k", "l", "m", "n" }) {
-            Member member = this->memberCalled(name);
+            Member member = this->memberNamed(name);
             member.zone.value = "y";
             noteMember(to, member);
         }
     };
     Members zone;
     zone.zone.value = "y";
-    hearZone(zone);
+    receiveZoneHeartbeats(zone);
     zone.self.value = "k";
     this->members.zone.value = "y";
     this->members.self = firstAlive(zone, ZoneId{ "z" }, "e", this->now);
     for (int step = 0; step < 80; ++step) {
-        hearZone(this->members);
-        this->pass(std::chrono::milliseconds(100), false, 5);
+        receiveZoneHeartbeats(this->members);
+        this->advance(std::chrono::milliseconds(100), false, 5);
     }
-    EXPECT_EQ(presumedHolder(this->engine, this->members, this->now), this->members.self);
-    EXPECT_FALSE(this->may());
+    EXPECT_EQ(presumedCoordinator(this->engine, this->members, this->now), this->members.self);
+    EXPECT_FALSE(this->mayOrderNow());
 }
 
-TEST_F(OrderRightsTest, GoOnBehindACutWhileOrdersFollowEachOther)
+TEST_F(OrderRightsTest, ContinueInAPartitionWhileOrdersAreFrequent)
 {
-    // A zone is cut off and its callers go on asking. A host that orders all the while is seen by
-    // the other side, which keeps away; once it has paused, the other side may begin.
-    this->pass(std::chrono::seconds(5), true, 5);
-    ASSERT_TRUE(this->may());
-    this->pass(std::chrono::milliseconds(1500), false, 5);
+    // A zone is partitioned and its callers keep sending requests. As long as a host keeps
+    // ordering, the other side sees its orders and does not start; after a gap in its orders, the
+    // other side may start.
+    this->advance(std::chrono::seconds(5), true, 5);
+    ASSERT_TRUE(this->mayOrderNow());
+    this->advance(std::chrono::milliseconds(1500), false, 5);
     noteOrderTaken(this->rights, this->now);
-    EXPECT_TRUE(this->may());
-    this->pass(std::chrono::milliseconds(1600), false, 6);
-    EXPECT_FALSE(this->may());
+    EXPECT_TRUE(this->mayOrderNow());
+    this->advance(std::chrono::milliseconds(1600), false, 6);
+    EXPECT_FALSE(this->mayOrderNow());
 }
 
-TEST_F(OrderRightsTest, AreConfirmedAnewAfterACut)
+TEST_F(OrderRightsTest, AreReconfirmedAfterAPartition)
 {
-    // The cut has healed and all hosts are heard again, but what the others ordered meanwhile shows
-    // only in later reports.
-    this->pass(std::chrono::seconds(5), true, 5);
-    ASSERT_TRUE(this->may());
-    this->pass(std::chrono::seconds(2), false, 5);
-    this->hear();
+    // The partition has ended and all hosts are reachable again, but orders that the others gave
+    // meanwhile show only in later reports.
+    this->advance(std::chrono::seconds(5), true, 5);
+    ASSERT_TRUE(this->mayOrderNow());
+    this->advance(std::chrono::seconds(2), false, 5);
+    this->receiveHeartbeats();
     this->now = this->now + std::chrono::milliseconds(20);
     updateMembers(this->members, this->now);
-    EXPECT_FALSE(this->may());
-    this->pass(std::chrono::seconds(1), true, 5);
-    EXPECT_TRUE(this->may());
+    EXPECT_FALSE(this->mayOrderNow());
+    this->advance(std::chrono::seconds(1), true, 5);
+    EXPECT_TRUE(this->mayOrderNow());
 }
 
-TEST_F(OrderRightsTest, NeedAReportThatIsNotOld)
+TEST_F(OrderRightsTest, NeedARecentReport)
 {
-    this->pass(std::chrono::seconds(5), true, 5);
-    ASSERT_TRUE(this->may());
+    this->advance(std::chrono::seconds(5), true, 5);
+    ASSERT_TRUE(this->mayOrderNow());
     this->now = this->now + std::chrono::seconds(2);
-    this->hear();
-    EXPECT_FALSE(this->may());
+    this->receiveHeartbeats();
+    EXPECT_FALSE(this->mayOrderNow());
 }
 
-TEST_F(OrderRightsTest, AreNotUsedBeforeTheFirstLookAfterAPause)
+TEST_F(OrderRightsTest, AreNotUsedAfterAPauseBeforeMembersAreUpdated)
 {
-    // A process is paused for half a second, and the first thing that it handles when it wakes is
-    // an answer of its engine. It still believes what it believed about the others before.
-    this->pass(std::chrono::seconds(5), true, 5);
-    ASSERT_TRUE(this->may());
+    // A process is paused for half a second, and the first event after that is an answer of its
+    // engine. Its view of the other hosts is outdated.
+    this->advance(std::chrono::seconds(5), true, 5);
+    ASSERT_TRUE(this->mayOrderNow());
     this->now = this->now + std::chrono::milliseconds(500);
-    EXPECT_FALSE(this->may());
-    this->pass(std::chrono::milliseconds(1000), true, 5);
-    EXPECT_TRUE(this->may());
+    EXPECT_FALSE(this->mayOrderNow());
+    this->advance(std::chrono::milliseconds(1000), true, 5);
+    EXPECT_TRUE(this->mayOrderNow());
 }
 
-TEST_F(OrderRightsTest, BeginAtOnceWhenTheWholeSystemStartsForTheFirstTime)
+TEST_F(OrderRightsTest, BeginEarlyAtTheFirstStartOfTheSystem)
 {
     this->start = { true, this->now };
-    this->pass(std::chrono::milliseconds(2000), true, 0);
-    EXPECT_FALSE(this->may());
-    this->pass(std::chrono::milliseconds(800), true, 0);
-    EXPECT_TRUE(this->may());
+    this->advance(std::chrono::milliseconds(2000), true, 0);
+    EXPECT_FALSE(this->mayOrderNow());
+    this->advance(std::chrono::milliseconds(800), true, 0);
+    EXPECT_TRUE(this->mayOrderNow());
 }
 
 } // namespace
--- a/packages/gateway/tests/prompt_pacing_test.cpp
+++ b/packages/gateway/tests/prompt_pacing_test.cpp
@@ -7,29 +7,29 @@
 namespace azurewell::gateway {
 namespace {
 
-constexpr double readPerSecond = 22'100;
+constexpr double prefillTokensPerSecond = 22'100;
 
 const ModelName adapter{ "m", "a" };
 constexpr Instant start{ 1'000'000'000 };
 constexpr double prompt = 1800;
 
-TEST(PromptPacing, LetsPromptsThatComeApartGoAtOnce)
+TEST(PromptPacing, AdmitsSpacedPromptsAtOnce)
 {
     PromptPacer pacer;
     for (int i = 0; i < 20; ++i) {
         const Instant now = start + std::chrono::milliseconds(200) * i;
-        EXPECT_EQ(takeTurn(pacer, adapter, prompt, readPerSecond, now).wait, Span{});
+        EXPECT_EQ(takeTurn(pacer, adapter, prompt, prefillTokensPerSecond, now).wait, Span{});
     }
 }
 
-TEST(PromptPacing, SpreadsAClumpSoThatTheEngineIsNeverGivenTooMuch)
+TEST(PromptPacing, SpreadsABurstOverTime)
 {
-    // Eight hosts send a prompt to one engine in the same moment. Read in one go they would stop
-    // all streams of that engine for 650 ms.
+    // Eight hosts send a prompt to one engine at the same time. Read without a break, the prompts
+    // would stop all streams of that engine for 650 ms.
     PromptPacer pacer;
     std::array<Span, 6> waits{};
     for (Span &wait : waits)
-        wait = takeTurn(pacer, adapter, prompt, readPerSecond, start).wait;
+        wait = takeTurn(pacer, adapter, prompt, prefillTokensPerSecond, start).wait;
     EXPECT_EQ(waits[0], Span{});
     EXPECT_EQ(waits[2], Span{});
     EXPECT_GT(waits[4], waits[3]);
@@ -37,36 +37,36 @@
     EXPECT_LE(waits[5], std::chrono::milliseconds(350));
 }
 
-TEST(PromptPacing, LetsAPromptThatIsLargerThanAllGoWhenTheEngineIsDone)
+TEST(PromptPacing, AdmitsAnOversizedPromptOnceTheBacklogIsDrained)
 {
-    // The largest tenth of prompts is larger than what is let go at once. They wait for the backlog
-    // and are not held for ever.
+    // The largest tenth of prompts exceeds the maximum backlog. They wait until the backlog is
+    // drained and are not held forever.
     PromptPacer pacer;
-    EXPECT_EQ(takeTurn(pacer, adapter, 6870, readPerSecond, start).wait, Span{});
+    EXPECT_EQ(takeTurn(pacer, adapter, 6870, prefillTokensPerSecond, start).wait, Span{});
     const Instant later = start + std::chrono::milliseconds(600);
-    EXPECT_EQ(takeTurn(pacer, adapter, 6870, readPerSecond, later).wait, Span{});
+    EXPECT_EQ(takeTurn(pacer, adapter, 6870, prefillTokensPerSecond, later).wait, Span{});
 }
 
-TEST(PromptPacing, WantsACopyOfAnAdapterThatIsAskedForMoreThanOneEngineReads)
+TEST(PromptPacing, RequestsACopyOfAnAdapterWithMoreDemandThanOneEngineCanRead)
 {
-    // One adapter gets 27,000 tokens a second. However its prompts are spread over time, one engine
-    // cannot read them.
+    // One adapter gets 27,000 tokens a second. One engine cannot read that, however the prompts are
+    // spread over time.
     PromptPacer pacer;
     bool isCopyWanted = false;
     for (int i = 0; i < 30; ++i) {
         const Instant now = start + std::chrono::milliseconds(66) * i;
         isCopyWanted = isCopyWanted
-                || takeTurn(pacer, adapter, prompt, readPerSecond, now).isCopyWanted;
+                || takeTurn(pacer, adapter, prompt, prefillTokensPerSecond, now).isCopyWanted;
     }
     EXPECT_TRUE(isCopyWanted);
 }
 
-TEST(PromptPacing, WantsNoCopyForOneClumpOfManyAdapters)
+TEST(PromptPacing, RequestsNoCopyForABurstOverManyAdapters)
 {
     PromptPacer pacer;
     for (int i = 0; i < 8; ++i) {
         const ModelName other{ "m", "a" + std::to_string(i) };
-        EXPECT_FALSE(takeTurn(pacer, other, prompt, readPerSecond, start).isCopyWanted);
+        EXPECT_FALSE(takeTurn(pacer, other, prompt, prefillTokensPerSecond, start).isCopyWanted);
     }
 }
 
--- a/packages/gateway/tests/reading_rate_test.cpp
+++ b/packages/gateway/tests/reading_rate_test.cpp
@@ -7,19 +7,20 @@
 namespace azurewell::gateway {
 namespace {
 
-/// An engine that nobody has measured before.
-struct Kind
+/// An engine with properties that differ from the initial estimate.
+struct EngineProfile
 {
     double perSecond;
     double overhead; ///< In seconds.
     double meanPrompt;
 };
 
-class ReadingRateOf : public testing::TestWithParam<Kind>
+class PrefillRateOf : public testing::TestWithParam<EngineProfile>
 {
 protected:
-    /// Prompts of very different lengths; some meet other work, and some have parts in the cache.
-    void play(int prompts, double perSecond)
+    /// Simulates prompts of very different lengths; some meet other work, and some are partly
+    /// cached.
+    void simulate(int prompts, double perSecond)
     {
         std::lognormal_distribution<double> length(0, 0.8);
         std::uniform_real_distribution<double> part(0, 1);
@@ -30,41 +31,44 @@
                 seconds *= 1 + 5 * part(this->random);
             if (part(this->random) < 0.1)
                 seconds *= 0.7;
-            noteRead(this->rate, tokens, fromSeconds(seconds));
+            recordPrefill(this->rate, tokens, fromSeconds(seconds));
         }
     }
 
     std::mt19937_64 random{ 5 };
-    ReadingRate rate;
+    PrefillRate rate;
 };
 
-TEST_P(ReadingRateOf, IsLearntFromSomeDozenPrompts)
+TEST_P(PrefillRateOf, IsLearntFromAFewDozenPrompts)
 {
-    this->play(80, GetParam().perSecond);
+    this->simulate(80, GetParam().perSecond);
     EXPECT_GT(this->rate.perSecond, GetParam().perSecond * 0.6);
     EXPECT_LT(this->rate.perSecond, GetParam().perSecond * 1.5);
 }
 
-TEST_P(ReadingRateOf, FollowsEnginesThatTurnSlow)
+TEST_P(PrefillRateOf, FollowsEnginesThatBecomeSlower)
 {
-    // All engines are replaced by ones that need twice as long. Hosts that went on with the old
-    // figure would send each of them twice the work that it can do in time.
-    this->play(150, GetParam().perSecond);
-    this->play(150, GetParam().perSecond / 2);
+    // All engines are replaced by ones that take twice as long. With the old rate, hosts would send
+    // each of them twice the work that it can do in time.
+    this->simulate(150, GetParam().perSecond);
+    this->simulate(150, GetParam().perSecond / 2);
     EXPECT_GT(this->rate.perSecond, GetParam().perSecond / 2 * 0.6);
     EXPECT_LT(this->rate.perSecond, GetParam().perSecond / 2 * 1.5);
 }
 
-INSTANTIATE_TEST_SUITE_P(Engines, ReadingRateOf,
-                         testing::Values(Kind{ 5'000, 0.06, 900 }, Kind{ 22'100, 0.05, 2400 },
-                                         Kind{ 38'400, 0.05, 9200 }, Kind{ 150'000, 0.02, 6000 }));
+INSTANTIATE_TEST_SUITE_P(Engines, PrefillRateOf,
+                         testing::Values(EngineProfile{ 5'000, 0.06, 900 },
+                                         EngineProfile{ 22'100, 0.05, 2400 },
+                                         EngineProfile{ 38'400, 0.05, 9200 },
+                                         EngineProfile{ 150'000, 0.02, 6000 }));
 
-TEST(ReadingRate, OfPromptsOfOneLengthStaysWithinReason)
+TEST(PrefillRate, StaysBoundedForPromptsOfOneLength)
 {
-    // The slope of one point is not defined; the rate must neither vanish nor grow without bound.
-    ReadingRate rate;
+    // The slope through a single point is undefined; the rate must neither vanish nor grow without
+    // bound.
+    PrefillRate rate;
     for (int prompt = 0; prompt < 500; ++prompt)
-        noteRead(rate, 2000, std::chrono::milliseconds(140));
+        recordPrefill(rate, 2000, std::chrono::milliseconds(140));
     EXPECT_GT(rate.perSecond, 5'000);
     EXPECT_LT(rate.perSecond, 200'000);
 }
--- a/packages/gateway/tests/requests_test.cpp
+++ b/packages/gateway/tests/requests_test.cpp
@@ -7,7 +7,8 @@
 namespace azurewell::gateway {
 namespace {
 
-/// One host before two plain upstreams and two engines, with a filing, a look-up and a stream.
+/// One host with two plain upstreams and routes for non-idempotent, idempotent and streaming
+/// requests.
 class RequestsTest : public testing::Test
 {
 protected:
@@ -88,7 +89,7 @@
         return actions;
     }
 
-    /// Engine \a id loads the adapter that ask() names since now.
+    /// Lets engine \a id load the adapter that ask() names, starting now.
     void load(const std::string &id)
     {
         this->list(id, "llm");
@@ -108,7 +109,7 @@
         return actions.dispatches;
     }
 
-    /// Twenty other hosts are heard.
+    /// Adds twenty reachable hosts.
     void joinLargeFleet()
     {
         for (int host = 0; host < 20; ++host) {
@@ -128,10 +129,10 @@
     std::uint64_t lastRequest = 0;
 };
 
-TEST_F(RequestsTest, AFilingIsNeverSentAgainAfterItMayHaveRun)
+TEST_F(RequestsTest, ANonIdempotentRequestIsNotRepeatedAfterItMayHaveRun)
 {
-    // The upstream reads a filing and closes without an answer. Sent again, it would be filed
-    // twice; refused as not run, the caller would file it again.
+    // The upstream reads the request and closes the connection without an answer. A repetition
+    // could run it twice; if it were refused as not run, the caller would repeat it.
     const Actions asked = this->ask("/file/x");
     ASSERT_EQ(asked.dispatches.size(), 1U);
     const Actions ended = this->end(asked.dispatches.front(), AttemptOutcome::Failed);
@@ -141,7 +142,7 @@
     EXPECT_EQ(ended.refusals.front().code, ResultCode::OutcomeUnknown);
 }
 
-TEST_F(RequestsTest, AFilingThatReachedNobodyGoesToAnotherUpstream)
+TEST_F(RequestsTest, ANonIdempotentRequestThatWasNotSentGoesToAnotherUpstream)
 {
     const Actions asked = this->ask("/file/x");
     const Actions ended = this->end(asked.dispatches.front(), AttemptOutcome::NotSent);
@@ -149,7 +150,7 @@
     EXPECT_NE(ended.dispatches.front().upstream, asked.dispatches.front().upstream);
 }
 
-TEST_F(RequestsTest, ALookUpIsRepeatedOnceAtAnotherUpstream)
+TEST_F(RequestsTest, AnIdempotentRequestIsRetriedOnceAtAnotherUpstream)
 {
     for (int earned = 0; earned < 20; ++earned)
         this->end(this->ask("/look/x").dispatches.front(), AttemptOutcome::Done);
@@ -163,8 +164,8 @@
 
 TEST_F(RequestsTest, RetriesEndWhenTheBudgetIsSpent)
 {
-    // Every upstream fails every request. A retry for each would double the load just when they are
-    // weakest.
+    // Every upstream fails every request. A retry for each would double the load while the
+    // upstreams are weakest.
     std::size_t repeated = 0;
     for (int request = 0; request < 400; ++request) {
         const Actions asked = this->ask("/look/x");
@@ -185,28 +186,28 @@
     EXPECT_EQ(this->ask("/nowhere/x").refusals.front().code, ResultCode::UnknownPath);
 }
 
-TEST_F(RequestsTest, AHostWithoutAConfigurationSaysThatItHasNotRun)
+TEST_F(RequestsTest, AHostWithoutAConfigurationRefusesRequestsAsNotRun)
 {
-    // A fresh host that cannot reach the platform knows no key and no route. A 401 or 404 would
-    // tell the caller that its key or its path is wrong for good.
+    // A new host that cannot reach the platform knows no keys and no routes. A 401 or 404 would
+    // tell the caller that its key or path is permanently wrong.
     this->state.configuration = {};
     const Actions asked = this->ask("/file/x");
     EXPECT_EQ(asked.refusals.front().code, ResultCode::HostStarting);
     EXPECT_TRUE(asked.refusals.front().isNotRun);
 }
 
-TEST_F(RequestsTest, TheLongestPrefixDecides)
+TEST_F(RequestsTest, TheRouteWithTheLongestPrefixMatches)
 {
     EXPECT_EQ(this->ask("/look/deep/x").refusals.front().code, ResultCode::NoUpstream);
     EXPECT_EQ(this->ask("/look/x").dispatches.size(), 1U);
 }
 
-TEST_F(RequestsTest, ALeavingUpstreamGetsNothingNew)
+TEST_F(RequestsTest, ALeavingUpstreamGetsNoNewRequests)
 {
     ListedUpstream leaving = this->state.upstreams.at(UpstreamId{ "d1" }).listed;
     leaving.isLeaving = true;
     listUpstream(this->state, leaving, this->now);
-    // A held-up entry from before says that it is ready.
+    // A delayed entry from before says that the upstream is ready.
     leaving.isLeaving = false;
     listUpstream(this->state, leaving, this->now);
     for (int request = 0; request < 20; ++request)
@@ -224,7 +225,7 @@
     EXPECT_EQ(late.cancels.size(), 1U);
 }
 
-TEST_F(RequestsTest, ACallerThatLeavesEndsItsRequestAtTheUpstream)
+TEST_F(RequestsTest, ADisconnectedCallerCancelsItsRequestAtTheUpstream)
 {
     const Actions asked = this->ask("/draft/x");
     this->list("e1", "llm", "a1");
@@ -236,8 +237,9 @@
     EXPECT_EQ(this->state.upstreams.at(UpstreamId{ "e1" }).underWay, 0U);
 }
 
-// Guards against an engine that seems idle: an attempt that fails for good was taken off twice.
-TEST_F(RequestsTest, AFailedAttemptIsTakenOffItsUpstreamOnce)
+// Guards against an engine that seems idle because an attempt that failed for good was subtracted
+// twice.
+TEST_F(RequestsTest, AFailedAttemptIsSubtractedFromItsUpstreamOnce)
 {
     this->list("e1", "llm", "a1");
     const Actions first = this->ask("/draft/x");
@@ -254,10 +256,10 @@
     EXPECT_TRUE(this->ask("/draft/x").dispatches.empty());
 }
 
-TEST_F(RequestsTest, APromptWaitsForItsTurnAtACrowdedEngine)
+TEST_F(RequestsTest, APromptWaitsForItsAdmission)
 {
-    // In a large fleet each host sees one prompt in ninety. Ten of them sent to one engine in the
-    // same moment stop all its streams; the host that orders there tells each when to send.
+    // In a large fleet each host sees one prompt in ninety. Ten prompts sent to one engine at the
+    // same time stop all its streams; its coordinator sends each host the time for its prompt.
     this->list("e1", "llm", "a1");
     this->joinLargeFleet();
     const Actions asked = this->ask("/draft/x");
@@ -282,7 +284,7 @@
     EXPECT_EQ(due.dispatches.size(), 1U);
 }
 
-/// The engine and host that are asked for a turn in \a actions; the last of them.
+/// The last admission request in \a actions.
 const SendGossip &lastAsk(const Actions &actions)
 {
     const auto ask = std::find_if(
@@ -305,8 +307,8 @@
     return actions;
 }
 
-// A prompt queues at one engine while another one that has its adapter has nothing to read.
-TEST_F(RequestsTest, APromptGoesToTheEngineWhereItsTurnComesSooner)
+// Guards against a prompt that queues at one engine while another one with its adapter is idle.
+TEST_F(RequestsTest, APromptGoesToTheEngineWithTheEarlierAdmission)
 {
     this->list("e1", "llm", "a1");
     this->list("e2", "llm", "a1");
@@ -325,8 +327,9 @@
     EXPECT_EQ(returned.engine, crowded);
 }
 
-// The second question makes a prompt wait for longer than its first turn.
-TEST_F(RequestsTest, APromptKeepsItsTurnWhereNoOtherEngineIsSooner)
+// Guards against a second admission request that makes a prompt wait for longer than the first
+// admission.
+TEST_F(RequestsTest, APromptKeepsItsAdmissionIfNoOtherEngineIsEarlier)
 {
     this->list("e1", "llm", "a1");
     this->list("e2", "llm", "a1");
@@ -344,8 +347,8 @@
     EXPECT_EQ(sent.front().upstream, engine);
 }
 
-// The host that is asked second has just died.
-TEST_F(RequestsTest, APromptKeepsItsTurnWhereTheSecondQuestionIsNotAnswered)
+// Guards against a prompt that waits for the host that was asked second, which has just died.
+TEST_F(RequestsTest, APromptKeepsItsAdmissionIfTheSecondRequestIsNotAnswered)
 {
     this->list("e1", "llm", "a1");
     this->list("e2", "llm", "a1");
@@ -359,10 +362,9 @@
     EXPECT_EQ(sent.front().upstream, first.message->promptAsks.front().engine);
 }
 
-TEST_F(RequestsTest, APromptGoesWhereNobodyTellsItsTurn)
+TEST_F(RequestsTest, APromptIsSentIfItsCoordinatorDoesNotAnswer)
 {
-    // The host that paces the prompts of an engine has just died. Requests for it must not wait
-    // until that is noticed.
+    // The coordinator of the engine has just died. Requests must not wait until that is noticed.
     this->list("e1", "llm", "a1");
     this->joinLargeFleet();
     EXPECT_TRUE(this->ask("/draft/x").dispatches.empty());
@@ -372,10 +374,10 @@
     EXPECT_EQ(due.dispatches.size(), 1U);
 }
 
-TEST_F(RequestsTest, ARequestGoesWhenItsLoadShouldBeOver)
+TEST_F(RequestsTest, ARequestIsSentWhenItsLoadIsExpectedToBeDone)
 {
-    // No report shows the adapter yet, which would take another 300 ms. Once the engine has taken
-    // one request, the others that wait for the adapter go as well.
+    // No report shows the adapter yet; waiting for one would take another 300 ms. Once the engine
+    // has accepted one request, the others that wait for the adapter are sent as well.
     this->load("e1");
     for (int earned = 0; earned < 20; ++earned)
         this->end(this->ask("/look/x").dispatches.front(), AttemptOutcome::Done);
@@ -389,10 +391,10 @@
     EXPECT_EQ(this->ask("/draft/x").dispatches.size(), 1U);
 }
 
-TEST_F(RequestsTest, ARequestThatCameBeforeItsLoadWasOverGoesAgain)
+TEST_F(RequestsTest, ARequestSentBeforeItsLoadWasDoneIsSentAgain)
 {
-    // The load takes longer than those before, and the engine turns the request away unrun. Its
-    // caller must not be refused for that, nor the engine be left out.
+    // The load takes longer than previous ones, and the engine rejects the request without running
+    // it. The caller must not be refused for that, and the engine must not be excluded.
     this->load("e1");
     this->state.retryBudgets[ServiceId{ "llm" }].tokens = 3;
     EXPECT_TRUE(this->ask("/draft/x").dispatches.empty());
@@ -406,16 +408,16 @@
     EXPECT_EQ(again.front().upstream.value, "e1");
 }
 
-TEST_F(RequestsTest, WithoutARetryLeftARequestWaitsForTheReport)
+TEST_F(RequestsTest, ARequestWaitsForTheReportIfNoRetryIsLeft)
 {
-    // Requests that are sent too early count as retries, of which the fleet may make few.
+    // Early attempts count as retries, of which the fleet may make few.
     this->load("e1");
     this->state.retryBudgets[ServiceId{ "llm" }].tokens = 0;
     EXPECT_TRUE(this->ask("/draft/x").dispatches.empty());
     EXPECT_TRUE(this->tickAfter(std::chrono::milliseconds(300)).empty());
 }
 
-/// Answers each load request in \a actions with a refusal; the last actions that follow.
+/// Answers each load request in \a actions with a refusal and returns the last resulting actions.
 Actions refuseLoads(GatewayState &state, Actions actions, std::size_t &asked, Instant now)
 {
     for (bool isAny = true; isAny && actions.refusals.empty();) {
@@ -438,12 +440,12 @@
     return actions;
 }
 
-// Load pattern: every place of the fleet is taken. A request is passed from engine to engine until
-// it has waited for three quarters of its objective, and is refused then.
-TEST_F(RequestsTest, ARequestThatNoEngineHasAPlaceForIsRefusedAtOnce)
+// Guards against a request that is passed from engine to engine until it is refused after three
+// quarters of its objective, while every adapter slot of the fleet is in use.
+TEST_F(RequestsTest, ARequestIsRefusedAtOnceIfNoEngineHasASlot)
 {
     constexpr int engines = 40;
-    constexpr std::size_t mostAsked = 10;
+    constexpr std::size_t maxAsked = 10;
     for (int engine = 0; engine < engines; ++engine)
         this->list("e" + std::to_string(engine), "llm", "other");
     this->joinLargeFleet();
@@ -453,10 +455,10 @@
     EXPECT_EQ(last.refusals.front().code, ResultCode::AdapterLoadFailed);
     EXPECT_TRUE(last.refusals.front().isNotRun);
     EXPECT_GT(last.refusals.front().retryAfter, Span{});
-    EXPECT_LE(asked, mostAsked);
+    EXPECT_LE(asked, maxAsked);
 }
 
-TEST_F(RequestsTest, AStoppingHostRefusesWhatItCouldNotFinish)
+TEST_F(RequestsTest, AStoppingHostRefusesRequestsThatItCannotFinish)
 {
     Actions actions;
     beginStop(this->state, this->now, actions);
