--- a/packages/gateway/tests/fleet_exchange_test.cpp
+++ b/packages/gateway/tests/fleet_exchange_test.cpp
@@ -9,7 +9,7 @@
 namespace azurewell::gateway {
 namespace {
 
-/// One host of a large fleet: thirty hosts in each of three zones.
+/// One host of a large fleet with thirty hosts in each of three zones.
 class FleetExchangeTest : public testing::Test
 {
 protected:
@@ -21,7 +21,7 @@
         self.address = { "h0", 1 };
         gateway::start(this->state, self, loadKnownCharts(AZUREWELL_CHARTS_DIR).value(), this->now);
         for (int host = 1; host < hosts; ++host)
-            this->hear(host);
+            this->receiveFrom(host);
     }
 
     Gossip messageOf(int host) const
@@ -41,14 +41,14 @@
         return actions;
     }
 
-    Actions hear(int host)
+    Actions receiveFrom(int host)
     {
         return this->take(this->messageOf(host));
     }
 
-    /// Time passes in ticks in which all hosts but \a silent are heard; the messages that this host
-    /// sends.
-    std::vector<SendGossip> pass(Span span, int silent = 0)
+    /// Advances the clock in ticks, receiving messages from all hosts but \a silent. Returns the
+    /// messages that this host sends.
+    std::vector<SendGossip> advance(Span span, int silent = 0)
     {
         std::vector<SendGossip> sent;
         const Instant end = this->now + span;
@@ -59,7 +59,7 @@
             sent.insert(sent.end(), actions.gossip.begin(), actions.gossip.end());
             for (int host = 1; host < hosts; ++host) {
                 if (host != silent && this->now.micros / tickInterval.count() % 20 == host % 20)
-                    this->hear(host);
+                    this->receiveFrom(host);
             }
         }
         return sent;
@@ -83,12 +83,12 @@
     Instant now{ 1'000'000'000 };
 };
 
-TEST_F(FleetExchangeTest, HostsOfTheOwnZoneAreWrittenToMoreOften)
+TEST_F(FleetExchangeTest, HostsOfTheOwnZoneGetMoreHeartbeats)
 {
-    // Every host that writes to 89 others each quarter of a second spends its processor time on
-    // heartbeats. Those that take over each other's engines have to notice a loss soonest.
-    this->pass(std::chrono::seconds(4));
-    const std::vector<SendGossip> sent = this->pass(std::chrono::seconds(10));
+    // Guards against hosts that spend their processor time on heartbeats by sending to 89 others
+    // every 250 ms. Hosts that take over each other's engines have to detect a loss first.
+    this->advance(std::chrono::seconds(4));
+    const std::vector<SendGossip> sent = this->advance(std::chrono::seconds(10));
     EXPECT_LT(sent.size(), 10 * 80U);
     EXPECT_GE(countTo(sent, "h3"), 12U);
     EXPECT_GE(countTo(sent, "h1"), 4U);
@@ -96,19 +96,20 @@
     EXPECT_EQ(countHeard(this->state.members, this->now), hosts - 1U);
 }
 
-TEST_F(FleetExchangeTest, ASilentHostOfTheZoneIsNoticedWithinAFewHeartbeats)
+TEST_F(FleetExchangeTest, UnreachableHostOfTheZoneIsDetectedWithinAFewHeartbeats)
 {
-    // A host dies. Until the others of its zone notice, nobody orders at its engines.
-    this->pass(std::chrono::seconds(2));
-    this->pass(std::chrono::milliseconds(4000), 3);
+    // Guards against detecting a crashed host late: until the others of its zone do, its engines
+    // have no coordinator.
+    this->advance(std::chrono::seconds(2));
+    this->advance(std::chrono::milliseconds(4000), 3);
     EXPECT_FALSE(isAlive(this->state.members, HostId{ "h3" }, this->now));
     EXPECT_EQ(countHeard(this->state.members, this->now), hosts - 2U);
 }
 
-TEST_F(FleetExchangeTest, ChangesAreAskedForInTheOwnZoneFirst)
+TEST_F(FleetExchangeTest, ChangesAreRequestedInTheOwnZoneFirst)
 {
-    // A change of the configuration is known in another zone. If all hosts of a zone fetched it
-    // from there, each change would cross between the zones thirty times.
+    // Guards against thirty transfers of each configuration change between zones, which happen if
+    // all hosts of a zone request it from another zone.
     Configuration configuration;
     configuration.version = 1;
     setConfiguration(this->state, configuration);
@@ -120,10 +121,11 @@
     EXPECT_TRUE(asksForChanges(this->take(inZone)));
 }
 
-TEST_F(FleetExchangeTest, ASmallFleetAsksWhoeverIsAhead)
+TEST_F(FleetExchangeTest, SmallFleetRequestsChangesFromAnyZone)
 {
-    // An upstream leaves, and the only other host of this zone does not know it yet. Waiting for it
-    // half a second long, this host sent requests there after the time that the upstream serves on.
+    // Guards against sending requests to a leaving upstream after it stopped serving: the only
+    // other host of this zone does not know of the change yet, and waiting half a second for it
+    // takes too long.
     GatewayState small;
     gateway::start(small, this->state.self, loadKnownCharts(AZUREWELL_CHARTS_DIR).value(),
                    this->now);
@@ -137,38 +139,38 @@
     EXPECT_TRUE(asksForChanges(actions));
 }
 
-TEST_F(FleetExchangeTest, ChangesAreAskedForElsewhereWhenTheOwnZoneDoesNotKnowThem)
+TEST_F(FleetExchangeTest, ChangesAreRequestedFromOtherZonesIfTheOwnZoneLacksThem)
 {
-    // The platform turns away all readers of a zone and serves the other zones. A key that was
-    // withdrawn has to stop working here as well.
+    // Guards against a withdrawn key that still works in a zone whose readers the platform all
+    // rejects while it serves the other zones.
     Configuration configuration;
     configuration.version = 1;
     setConfiguration(this->state, configuration);
     Gossip elsewhere = this->messageOf(1);
     elsewhere.newestChange = 7;
     this->take(elsewhere);
-    this->pass(std::chrono::milliseconds(700));
+    this->advance(std::chrono::milliseconds(700));
     EXPECT_TRUE(asksForChanges(this->take(elsewhere)));
 }
 
-TEST_F(FleetExchangeTest, AHostThatAsksGetsTheChangesThatItLacks)
+TEST_F(FleetExchangeTest, RequesterGetsMissingChanges)
 {
     takeListing(this->state.published, {}, 4);
     takeChanges(this->state.published, { 4, 9, { { "k", 7, false, "v" } } });
-    Gossip ask = this->messageOf(3);
-    ask.revision = 5;
-    EXPECT_TRUE(this->take(ask).gossip.empty());
-    ask.wantsChanges = true;
-    const Actions answer = this->take(ask);
+    Gossip request = this->messageOf(3);
+    request.revision = 5;
+    EXPECT_TRUE(this->take(request).gossip.empty());
+    request.wantsChanges = true;
+    const Actions answer = this->take(request);
     ASSERT_EQ(answer.gossip.size(), 1U);
     ASSERT_EQ(answer.gossip.front().message->changes.size(), 1U);
     EXPECT_EQ(answer.gossip.front().message->changes.front().items.size(), 1U);
 }
 
-TEST_F(FleetExchangeTest, AFewHostsOfAZoneReadThePlatformAndOthersWhenItFailsThem)
+TEST_F(FleetExchangeTest, OtherHostsReadThePlatformWhenTheReadersFail)
 {
-    // If every host watched the platform, reads would grow with the fleet. If the ones that do were
-    // fixed, a platform that turns just these away would leave their zone without news.
+    // Guards against reads that grow with the fleet, and against a zone without updates because the
+    // platform rejects the only hosts that read it.
     Configuration configuration;
     configuration.version = 1;
     setConfiguration(this->state, configuration);
@@ -187,10 +189,10 @@
     EXPECT_TRUE(readsPlatform(this->state, this->now));
 }
 
-TEST_F(FleetExchangeTest, AHostThatTheOthersCannotTellReadsForItself)
+TEST_F(FleetExchangeTest, HostReadsThePlatformIfNoOtherHostSendsChanges)
 {
-    // A configuration with many routes does not fit into a message between hosts. A host that left
-    // reading to others never learnt of it, and answered 404 on every new route.
+    // Guards against answering 404 on new routes because a configuration with many routes was too
+    // large for a message and this host left reading to others.
     Configuration configuration;
     configuration.version = 1;
     setConfiguration(this->state, configuration);
@@ -199,14 +201,14 @@
     ahead.newestChange = 7;
     this->take(ahead);
     EXPECT_FALSE(readsPlatform(this->state, this->now));
-    this->pass(std::chrono::milliseconds(700));
+    this->advance(std::chrono::milliseconds(700));
     EXPECT_TRUE(readsPlatform(this->state, this->now));
     takeListing(this->state.published, {}, 7);
     EXPECT_FALSE(readsPlatform(this->state, this->now));
 }
 
-// Guards against a configuration over the size of a datagram that hosts cannot tell each other.
-TEST_F(FleetExchangeTest, AnItemThatIsTooLargeForAMessageIsSentInParts)
+// Guards against a configuration larger than a datagram that hosts cannot send to each other.
+TEST_F(FleetExchangeTest, OversizedItemIsSentInParts)
 {
     std::mt19937 random(1);
     std::string large(70'000, 'x');
@@ -214,10 +216,10 @@
         one = static_cast<char>(random());
     takeListing(this->state.published, {}, 5);
     takeChanges(this->state.published, { 5, 9, { { "k", 7, false, large } } });
-    Gossip ask = this->messageOf(3);
-    ask.revision = 5;
-    ask.wantsChanges = true;
-    const Actions answer = this->take(ask);
+    Gossip request = this->messageOf(3);
+    request.revision = 5;
+    request.wantsChanges = true;
+    const Actions answer = this->take(request);
     EXPECT_EQ(answer.gossip.size(), 5U);
     PartialItems partial;
     std::optional<PublishedChanges> whole;
@@ -234,7 +236,7 @@
     EXPECT_EQ(whole->upTo, 9U);
 }
 
-TEST_F(FleetExchangeTest, AnEntryThatTellsOnlyOfLoadedAdaptersSaysNothingNew)
+TEST_F(FleetExchangeTest, EntryWithOnlyNewLoadedAdaptersIsNoChange)
 {
     ListedUpstream before;
     before.id.value = "e";
@@ -255,10 +257,10 @@
     EXPECT_TRUE(readsPlatform(this->state, this->now));
 }
 
-/// Up to where \a answer to \a ask claims to tell everything.
-std::uint64_t toldUpTo(const Actions &answer, const Gossip &ask)
+/// Returns the revision up to which \a answer to \a request claims to be complete.
+std::uint64_t completeUpTo(const Actions &answer, const Gossip &request)
 {
-    std::uint64_t upTo = ask.revision;
+    std::uint64_t upTo = request.revision;
     for (const SendGossip &sent : answer.gossip) {
         for (const PublishedChanges &changes : sent.message->changes)
             upTo = std::max(upTo, changes.upTo);
@@ -266,60 +268,64 @@
     return upTo;
 }
 
-// A host that joined after an upstream was deleted tells the others of all changes since, but not
-// of the deletion: they go on sending requests to the upstream.
-TEST_F(FleetExchangeTest, AHostThatJoinedLaterDoesNotTellOfChangesThatItDoesNotKnow)
+// Guards against a host that joined after an upstream was deleted sending its changes as complete:
+// the receivers would keep sending requests to the upstream.
+TEST_F(FleetExchangeTest, HostThatJoinedLaterClaimsNoEarlierChanges)
 {
     constexpr std::uint64_t joinedAt = 50;
     takeListing(this->state.published, { { "a", joinedAt - 2, false, "1" } }, joinedAt);
-    Gossip ask = this->messageOf(3);
-    ask.wantsChanges = true;
-    ask.revision = joinedAt - 10;
-    EXPECT_EQ(toldUpTo(this->take(ask), ask), ask.revision);
+    Gossip request = this->messageOf(3);
+    request.wantsChanges = true;
+    request.revision = joinedAt - 10;
+    EXPECT_EQ(completeUpTo(this->take(request), request), request.revision);
     takeChanges(this->state.published,
                 { joinedAt, joinedAt + 5, { { "a", joinedAt + 5, false, "2" } } });
-    ask.revision = joinedAt;
-    EXPECT_EQ(toldUpTo(this->take(ask), ask), joinedAt + 5);
-    ask.revision = 0;
-    EXPECT_EQ(toldUpTo(this->take(ask), ask), joinedAt + 5);
+    request.revision = joinedAt;
+    EXPECT_EQ(completeUpTo(this->take(request), request), joinedAt + 5);
+    request.revision = 0;
+    EXPECT_EQ(completeUpTo(this->take(request), request), joinedAt + 5);
 }
 
-// A host lists again, as the platform has dropped its history, and does not know what came and
-// went meanwhile: an upstream that another host knows of is never taken out there.
-TEST_F(FleetExchangeTest, AHostThatListedAgainDoesNotTellOfChangesThatItDoesNotKnow)
+// Guards against a host that read a new listing, because the platform dropped its history, sending
+// its changes as complete: upstreams created and deleted in between would never be removed at the
+// receivers.
+TEST_F(FleetExchangeTest, HostThatListedAgainClaimsNoChangesInTheGap)
 {
     takeListing(this->state.published, { { "a", 8, false, "1" } }, 10);
     takeListing(this->state.published, { { "a", 38, false, "2" } }, 40);
-    Gossip ask = this->messageOf(3);
-    ask.wantsChanges = true;
-    ask.revision = 30;
-    EXPECT_EQ(toldUpTo(this->take(ask), ask), ask.revision);
-    ask.revision = 10;
-    EXPECT_EQ(toldUpTo(this->take(ask), ask), 40U) << "what it deleted itself, it knows";
+    Gossip request = this->messageOf(3);
+    request.wantsChanges = true;
+    request.revision = 30;
+    EXPECT_EQ(completeUpTo(this->take(request), request), request.revision);
+    request.revision = 10;
+    EXPECT_EQ(completeUpTo(this->take(request), request), 40U)
+            << "the host knows the deletions that it found itself";
 }
 
-// Guards against hosts that the platform turns away and that keep an old configuration, as all
-// others have listed anew and none can tell them everything.
-TEST_F(FleetExchangeTest, AHostTellsWhatIsNewestWhereItCannotTellAll)
+// Guards against hosts that the platform rejects and that keep an old configuration, because all
+// others have read new listings and none can send them every change.
+TEST_F(FleetExchangeTest, HostSendsNewestChangesIfItCannotSendAll)
 {
     takeListing(this->state.published, { { "a", 38, false, "2" } }, 40);
-    Gossip ask = this->messageOf(3);
-    ask.wantsChanges = true;
-    ask.revision = 30;
-    ask.newestChange = 29;
-    const Actions answer = this->take(ask);
+    Gossip request = this->messageOf(3);
+    request.wantsChanges = true;
+    request.revision = 30;
+    request.newestChange = 29;
+    const Actions answer = this->take(request);
     ASSERT_EQ(answer.gossip.size(), 1U);
     PublishedState asker;
     takeListing(asker, { { "a", 29, false, "1" }, { "b", 20, false, "1" } }, 30);
     EXPECT_EQ(takeChanges(asker, answer.gossip.front().message->changes.front()).size(), 1U);
     EXPECT_EQ(asker.items.at("a").revision, 38U);
-    EXPECT_EQ(asker.revision, 30U) << "it goes on asking whether others know more";
-    ask.newestChange = 38;
-    EXPECT_TRUE(this->take(ask).gossip.empty()) << "it has that already";
+    EXPECT_EQ(asker.revision, 30U) << "the requester stays behind and keeps requesting";
+    request.newestChange = 38;
+    EXPECT_TRUE(this->take(request).gossip.empty())
+            << "the requester already has the newest change";
 }
 
-// An idle host of a large fleet spends its processor time on engines where nothing is due.
-TEST_F(FleetExchangeTest, AnIdleHostLooksOnlyAtEnginesWhereSomethingIsDue)
+// Guards against an idle host of a large fleet spending its processor time on engines where nothing
+// is due.
+TEST_F(FleetExchangeTest, IdleHostChecksOnlyEnginesWithDueWork)
 {
     Configuration configuration;
     configuration.version = 1;
@@ -329,24 +335,24 @@
     configuration.services.push_back(service);
     setConfiguration(this->state, configuration);
     constexpr int engines = 240;
-    Gossip news = this->messageOf(3);
+    Gossip update = this->messageOf(3);
     for (int engine = 0; engine < engines; ++engine) {
         ListedUpstream listed;
         listed.id.value = "e" + std::to_string(engine);
         listed.service.value = "engines";
         listed.zone.value = "z1";
         listUpstream(this->state, listed, this->now);
-        news.engines.push_back({ listed.id, {} });
-        news.engines.back().state.models = { "base" };
+        update.engines.push_back({ listed.id, {} });
+        update.engines.back().state.models = { "base" };
     }
-    this->pass(std::chrono::seconds(1));
+    this->advance(std::chrono::seconds(1));
     const std::uint64_t before = this->state.counters.engineLooks;
     constexpr int seconds = 10;
     for (int second = 0; second < seconds; ++second) {
-        for (EngineNews &one : news.engines)
+        for (EngineNews &one : update.engines)
             one.state.seenAt = this->now;
-        this->take(news);
-        this->pass(std::chrono::seconds(1));
+        this->take(update);
+        this->advance(std::chrono::seconds(1));
     }
     EXPECT_LT(this->state.counters.engineLooks - before, engines * seconds);
 }
--- a/packages/gateway/tests/item_parts_test.cpp
+++ b/packages/gateway/tests/item_parts_test.cpp
@@ -10,7 +10,7 @@
 
 PublishedChanges changesOf(std::uint64_t revision, std::size_t bytes)
 {
-    std::mt19937 random(static_cast<std::uint32_t>(revision)); // does not pack
+    std::mt19937 random(static_cast<std::uint32_t>(revision)); // random bytes do not compress
     std::string value(bytes, 'a');
     for (std::size_t at = 0; at < bytes; ++at)
         value[at] = static_cast<char>(random());
@@ -24,16 +24,16 @@
     return splitItem(changes, packed);
 }
 
-// Guards against links of small hosts that are full of configurations.
-TEST(ItemParts, ArePackedAndLeaveTheLinkToOthers)
+// Guards against saturating the links of small hosts with configurations.
+TEST(ItemParts, AreCompressedAndPacedByLinkSpeed)
 {
     const PublishedChanges changes{ 3, 9, { { "k", 7, false, std::string(300'000, 'x') } } };
     EXPECT_EQ(partsOf(changes).size(), 1U);
-    EXPECT_EQ(restOfLink(125'000, 10), Span(std::chrono::milliseconds(200)));
+    EXPECT_EQ(linkPauseAfter(125'000, 10), Span(std::chrono::milliseconds(200)));
 }
 
-// Guards against memory that grows with names that are made up.
-TEST(ItemParts, OfManyItemsAreNotKept)
+// Guards against memory that grows with forged keys.
+TEST(ItemParts, NumberOfPartialItemsIsBounded)
 {
     PartialItems partial;
     for (int key = 0; key < 100; ++key)
@@ -41,8 +41,8 @@
     EXPECT_LE(partial.byKey.size(), 4U);
 }
 
-// Guards against bytes that are no packed value.
-TEST(ItemParts, ThatCannotBeUnpackedAreDropped)
+// Guards against bytes that are not a packed value.
+TEST(ItemParts, InvalidPackedValueIsDropped)
 {
     PartialItems partial;
     const std::string junk(1000, 'j');
@@ -51,7 +51,7 @@
     EXPECT_TRUE(partial.byKey.empty());
 }
 
-TEST(ItemParts, MakeTheItemInAnyOrderAndFromSeveralHosts)
+TEST(ItemParts, AssembleInAnyOrderWithDuplicates)
 {
     const PublishedChanges changes = changesOf(7, 100'000);
     std::vector<ItemPart> parts = partsOf(changes);
@@ -59,7 +59,7 @@
     PartialItems partial;
     for (std::size_t part = 1; part < parts.size(); ++part) {
         EXPECT_FALSE(addPart(partial, parts[part]));
-        EXPECT_FALSE(addPart(partial, parts[part])) << "told twice";
+        EXPECT_FALSE(addPart(partial, parts[part])) << "duplicate part";
     }
     const std::optional<PublishedChanges> whole = addPart(partial, parts.front());
     ASSERT_TRUE(whole);
@@ -67,7 +67,7 @@
     EXPECT_TRUE(partial.byKey.empty());
 }
 
-// Guards against a value that is made of parts of two revisions.
+// Guards against a value assembled from parts of two revisions.
 TEST(ItemParts, OfTwoRevisionsAreNotMixed)
 {
     const std::vector<ItemPart> older = partsOf(changesOf(7, 40'000));
@@ -82,9 +82,8 @@
     EXPECT_EQ(whole->items.front().value, changesOf(8, 40'000).items.front().value);
 }
 
-// Guards against datagrams that are made up: memory for a size that is not true, bytes past the
-// end.
-TEST(ItemParts, ThatCannotBeAreDropped)
+// Guards against forged datagrams that claim a huge size or write past the end of the value.
+TEST(ItemParts, InconsistentPartsAreDropped)
 {
     PartialItems partial;
     EXPECT_FALSE(addPart(partial, { 0, 1, "k", 1, 0, 1ULL << 40U, std::string(16'384, 'x') }));
--- a/packages/gateway/tests/platform_reader_test.cpp
+++ b/packages/gateway/tests/platform_reader_test.cpp
@@ -8,32 +8,32 @@
 namespace azurewell::gateway {
 namespace {
 
-/// A confirmed change has to be in force after this: the strictest that deployments ask for.
-constexpr Span inForceWithin = std::chrono::seconds(2);
+/// Time within which a confirmed change has to be in force; the strictest that deployments require.
+constexpr Span propagationTimeout = std::chrono::seconds(2);
 
-/// Of that, what passing a change on to hosts that do not read the store themselves may take.
-constexpr Span toldWithin = std::chrono::milliseconds(300);
+/// The share of it for forwarding a change to hosts that do not read the store themselves.
+constexpr Span forwardingTime = std::chrono::milliseconds(300);
 
-constexpr Instant dayBegins{ 100'000'000 };
-constexpr Instant silenceBegins = dayBegins + std::chrono::seconds(5);
+constexpr Instant startedAt{ 100'000'000 };
+constexpr Instant outageBegins = startedAt + std::chrono::seconds(5);
 
-/// How often a host looks whether a call is due or overdue.
-constexpr Span lookInterval = std::chrono::milliseconds(25);
+/// Interval at which a host checks whether a call is due or overdue.
+constexpr Span pollInterval = std::chrono::milliseconds(25);
 
 constexpr Span step = std::chrono::milliseconds(50);
 
-/// One host that reads a store alone: nobody tells it what it misses.
-class LoneHost
+/// One host that reads the store and receives no updates from other hosts.
+class SingleHost
 {
 public:
-    LoneHost(const FakeStore &fakeStore, Instant begin, std::uint64_t seed)
+    SingleHost(const FakeStore &fakeStore, Instant begin, std::uint64_t seed)
         : store(fakeStore)
         , now(begin)
         , random(seed)
     {
     }
 
-    /// When the host knows \a revision.
+    /// Runs until the host knows \a revision and returns that time.
     Instant knows(std::uint64_t revision)
     {
         while (this->known < revision)
@@ -41,7 +41,7 @@
         return this->now;
     }
 
-    /// Calls that it makes until \a end.
+    /// Runs until \a end and returns the number of calls made so far.
     std::uint64_t callsUntil(Instant end)
     {
         while (this->now < end)
@@ -54,12 +54,12 @@
     {
         const std::optional<ReadCall> call = beginRead(this->reader, true, this->now);
         if (!call) {
-            this->now = this->now + lookInterval;
+            this->now = this->now + pollInterval;
             return;
         }
         const Instant answer = this->store.answerAt(this->now, call->wait, this->known);
         if (answer >= call->giveUpAt) {
-            this->now = call->giveUpAt + lookInterval;
+            this->now = call->giveUpAt + pollInterval;
             noteReadFailure(this->reader, ReadFailure::NoAnswer, this->now);
             return;
         }
@@ -70,25 +70,25 @@
     }
 
     const FakeStore &store;
-    PlatformReader reader{ planReads(inForceWithin) };
+    PlatformReader reader{ planReads(propagationTimeout) };
     std::uint64_t known = 0;
     Instant now;
     std::mt19937_64 random;
 };
 
-/// The longest time that a change took until it was known, and where.
-struct Worst
+/// The longest time until a change was known, and in which case.
+struct Slowest
 {
     Span span{};
     std::string what;
 };
 
-void note(Worst &worst, Span span, const std::string &what)
+void note(Slowest &slowest, Span span, const std::string &what)
 {
-    if (span <= worst.span)
+    if (span <= slowest.span)
         return;
-    worst.span = span;
-    worst.what = what;
+    slowest.span = span;
+    slowest.what = what;
 }
 
 std::string millis(Span span)
@@ -96,54 +96,54 @@
     return std::to_string(span.count() / 1000) + " ms";
 }
 
-/// Plays one silence, and after it one change at each of many moments, with the calls of the host
-/// in different places when the silence begins.
-void playSilence(Span silence, Worst &worst)
+/// Simulates one outage with a change at each of many times after it. The phase of the host's calls
+/// at the start of the outage varies.
+void simulateOutage(Span outage, Slowest &slowest)
 {
     constexpr Span latestChange = std::chrono::seconds(3);
     constexpr std::uint64_t phases = 8;
-    const Instant silenceEnds = silenceBegins + silence;
+    const Instant outageEnds = outageBegins + outage;
     for (Span after{}; after <= latestChange; after += step) {
-        const FakeStore store{ { silenceEnds + after }, silenceBegins, silenceEnds };
+        const FakeStore store{ { outageEnds + after }, outageBegins, outageEnds };
         for (std::uint64_t phase = 0; phase < phases; ++phase) {
             const Span offset = phase * std::chrono::milliseconds(470);
-            LoneHost host(store, dayBegins + offset, phase);
-            note(worst, host.knows(1) - store.changes.front(),
-                 "silence " + millis(silence) + ", change after " + millis(after) + ", phase "
+            SingleHost host(store, startedAt + offset, phase);
+            note(slowest, host.knows(1) - store.changes.front(),
+                 "outage " + millis(outage) + ", change after " + millis(after) + ", phase "
                          + std::to_string(phase));
         }
     }
 }
 
-// Guards against a call that began in a silence of the store and outlives it: changes that are
-// confirmed after the silence were not in force in time.
-TEST(PlatformReaderTest, ChangesAfterASilenceOfAnyLengthAreKnownInTime)
+// Guards against a call that began during an outage of the store and outlives it, so that changes
+// confirmed after the outage are not in force in time.
+TEST(PlatformReaderTest, ChangesAfterAnOutageOfAnyLengthAreKnownInTime)
 {
     constexpr Span shortest = std::chrono::milliseconds(100);
     constexpr Span longest = std::chrono::seconds(12);
-    Worst worst;
-    for (Span silence = shortest; silence <= longest; silence += step)
-        playSilence(silence, worst);
-    EXPECT_LE(worst.span + toldWithin, inForceWithin) << worst.what;
+    Slowest slowest;
+    for (Span outage = shortest; outage <= longest; outage += step)
+        simulateOutage(outage, slowest);
+    EXPECT_LE(slowest.span + forwardingTime, propagationTimeout) << slowest.what;
 }
 
-TEST(PlatformReaderTest, ASilentStoreIsCalledLessThanOnceASecond)
+TEST(PlatformReaderTest, UnresponsiveStoreIsCalledAtMostOnceASecond)
 {
-    constexpr Span silence = std::chrono::seconds(60);
-    constexpr std::uint64_t most = 60;
-    const FakeStore store{ {}, dayBegins, dayBegins + silence };
-    LoneHost host(store, dayBegins, 1);
-    EXPECT_LE(host.callsUntil(dayBegins + silence), most);
+    constexpr Span outage = std::chrono::seconds(60);
+    constexpr std::uint64_t maxCalls = 60;
+    const FakeStore store{ {}, startedAt, startedAt + outage };
+    SingleHost host(store, startedAt, 1);
+    EXPECT_LE(host.callsUntil(startedAt + outage), maxCalls);
 }
 
-TEST(PlatformReaderTest, SpansFollowTheTimeInWhichAChangeHasToBeInForce)
+TEST(PlatformReaderTest, TimingFollowsThePropagationTimeout)
 {
     const ReadTimes strict = planReads(std::chrono::seconds(2));
     const ReadTimes usual = planReads(std::chrono::seconds(4));
     EXPECT_GT(usual.watchWait, strict.watchWait);
     const ReadTimes tooStrict = planReads(std::chrono::milliseconds(100));
     EXPECT_GT(tooStrict.watchWait, Span{});
-    EXPECT_GE(tooStrict.longestPause, tooStrict.shortestPause);
+    EXPECT_GE(tooStrict.maxPause, tooStrict.minPause);
 }
 
 } // namespace
--- a/packages/gateway/tests/platform_reading_fleet_test.cpp
+++ b/packages/gateway/tests/platform_reading_fleet_test.cpp
@@ -13,7 +13,7 @@
 struct FleetCase
 {
     std::size_t hostsPerZone;
-    Span inForceWithin; ///< As deployments of that size ask for.
+    Span inForceWithin; ///< As required by deployments of that size.
 };
 
 std::ostream &operator<<(std::ostream &out, const FleetCase &one)
@@ -26,51 +26,53 @@
 {
 };
 
-// Guards against hosts that all wait for a call from before the store's return, so that none tells
-// the others of a change.
-TEST_P(ReadingFleetTest, AllHostsKnowAChangeAfterASilenceInTime)
+// Guards against all hosts waiting for calls from before the store's recovery, so that none of them
+// notifies the others of a change.
+TEST_P(ReadingFleetTest, AllHostsKnowAChangeAfterAnOutageInTime)
 {
     const FleetCase &fleetCase = GetParam();
-    const Instant silent = ReadingFleet::begins + settling;
+    const Instant outageBegins = ReadingFleet::begins + settling;
     std::uint64_t seed = 1;
-    for (const int silenceMillis : { 300, 1400, 2600, 5200, 9000 }) {
+    for (const int outageMillis : { 300, 1400, 2600, 5200, 9000 }) {
         for (const int afterMillis : { 0, 700, 1900 }) {
-            const Instant returns = silent + std::chrono::milliseconds(silenceMillis);
+            const Instant recoversAt = outageBegins + std::chrono::milliseconds(outageMillis);
             const FakeStore store{ { ReadingFleet::begins,
-                                     returns + std::chrono::milliseconds(afterMillis) },
-                                   silent,
-                                   returns };
+                                     recoversAt + std::chrono::milliseconds(afterMillis) },
+                                   outageBegins,
+                                   recoversAt };
             ReadingFleet fleet({ zones, fleetCase.hostsPerZone }, store, fleetCase.inForceWithin,
                                ++seed);
-            EXPECT_LE(fleet.untilAllKnow(2, std::chrono::seconds(10)), fleetCase.inForceWithin)
-                    << "silence " << silenceMillis << " ms, change " << afterMillis << " ms after";
+            EXPECT_LE(fleet.timeUntilAllKnow(2, std::chrono::seconds(10)), fleetCase.inForceWithin)
+                    << "outage " << outageMillis << " ms, change " << afterMillis << " ms after";
         }
     }
 }
 
-// The same for silences of any length in a small fleet, where one hung call matters most.
-TEST(ReadingFleetSweep, AllHostsKnowAChangeAfterASilenceOfAnyLengthInTime)
+// The same for outages of any length in a small fleet, where one hung call matters most.
+TEST(ReadingFleetSweep, AllHostsKnowAChangeAfterAnOutageOfAnyLengthInTime)
 {
     constexpr Span inForceWithin = std::chrono::seconds(2);
     constexpr Span longest = std::chrono::seconds(12);
-    const Instant silent = ReadingFleet::begins + settling;
+    const Instant outageBegins = ReadingFleet::begins + settling;
     std::uint64_t seed = 1;
-    for (Span silence = std::chrono::milliseconds(100); silence <= longest;
-         silence += std::chrono::milliseconds(50)) {
+    for (Span outage = std::chrono::milliseconds(100); outage <= longest;
+         outage += std::chrono::milliseconds(50)) {
         const Span after = ++seed % 60 * std::chrono::milliseconds(50);
-        const Instant returns = silent + silence;
-        const FakeStore store{ { ReadingFleet::begins, returns + after }, silent, returns };
+        const Instant recoversAt = outageBegins + outage;
+        const FakeStore store{ { ReadingFleet::begins, recoversAt + after },
+                               outageBegins,
+                               recoversAt };
         ReadingFleet fleet({ zones, 2 }, store, inForceWithin, seed);
-        EXPECT_LE(fleet.untilAllKnow(2, std::chrono::seconds(10)), inForceWithin)
-                << "silence " << silence.count() / 1000 << " ms, change " << after.count() / 1000
+        EXPECT_LE(fleet.timeUntilAllKnow(2, std::chrono::seconds(10)), inForceWithin)
+                << "outage " << outage.count() / 1000 << " ms, change " << after.count() / 1000
                 << " ms after";
     }
 }
 
-// Guards against hosts that learn late of a configuration that fits into no message between hosts.
+// Guards against late updates of a configuration that is too large for one message between hosts.
 TEST_P(ReadingFleetTest, AllHostsKnowALargeChangeInTime)
 {
-    constexpr std::size_t overOneMessage = 70'000;
+    constexpr std::size_t largeValueBytes = 70'000;
     const FleetCase &fleetCase = GetParam();
     for (int phase = 0; phase < 8; ++phase) {
         const Instant confirmed = ReadingFleet::begins + settling
@@ -78,30 +80,31 @@
         FakeStore store{
             { ReadingFleet::begins, confirmed - std::chrono::milliseconds(30), confirmed }, {}, {}
         };
-        store.valueBytes = overOneMessage;
+        store.valueBytes = largeValueBytes;
         ReadingFleet fleet({ zones, fleetCase.hostsPerZone }, store, fleetCase.inForceWithin,
                            static_cast<std::uint64_t>(phase));
-        EXPECT_LE(fleet.untilAllKnow(3, std::chrono::seconds(10)), fleetCase.inForceWithin)
+        EXPECT_LE(fleet.timeUntilAllKnow(3, std::chrono::seconds(10)), fleetCase.inForceWithin)
                 << phase;
     }
 }
 
-// Guards against hosts that nobody tells of changes: the store turns them away, and the others have
-// listed anew since its history was dropped, or have just started, and know of no change before.
-TEST_P(ReadingFleetTest, HostsThatAreTurnedAwayKnowAChangeInTimeWhenTheOthersHaveListedAnew)
+// Guards against hosts that receive no changes: the store rejects them, and the other hosts have
+// read a new listing since its history was dropped, or have just started, and know no earlier
+// change.
+TEST_P(ReadingFleetTest, RejectedHostsKnowAChangeInTimeAfterOthersReadNewListings)
 {
     const FleetCase &fleetCase = GetParam();
     std::uint64_t seed = 1;
-    for (const int lostMillis : { 1000, 3000, 6000, 12'000 }) {
+    for (const int rejectedMillis : { 1000, 3000, 6000, 12'000 }) {
         for (const int droppedAfterMillis : { 300, 1200, 2500 }) {
             FakeStore store;
             for (int change = 0; change < 50; ++change)
                 store.changes.push_back(ReadingFleet::begins
                                         + change * std::chrono::milliseconds(300));
-            store.turnedAwayEach = 3;
-            store.turnsAwayFrom = ReadingFleet::begins + settling;
-            store.turnsAwayUntil = store.turnsAwayFrom + std::chrono::milliseconds(lostMillis);
-            store.historyDroppedAt = store.turnsAwayFrom
+            store.rejectedEach = 3;
+            store.rejectsFrom = ReadingFleet::begins + settling;
+            store.rejectsUntil = store.rejectsFrom + std::chrono::milliseconds(rejectedMillis);
+            store.historyDroppedAt = store.rejectsFrom
                     + std::chrono::milliseconds(droppedAfterMillis);
             ReadingFleet fleet({ zones, fleetCase.hostsPerZone }, store, fleetCase.inForceWithin,
                                ++seed);
@@ -110,55 +113,56 @@
             for (std::size_t host = 1; host < restarted; ++host)
                 fleet.restart(host * 3 - 1);
             for (const std::uint64_t revision : { 18, 25, 32, 40, 50 }) {
-                EXPECT_LE(fleet.untilAllKnow(revision, std::chrono::seconds(10)),
+                EXPECT_LE(fleet.timeUntilAllKnow(revision, std::chrono::seconds(10)),
                           fleetCase.inForceWithin)
-                        << "turned away for " << lostMillis << " ms, history dropped after "
+                        << "rejected for " << rejectedMillis << " ms, history dropped after "
                         << droppedAfterMillis << " ms, change " << revision;
             }
         }
     }
 }
 
-/// Large changes while the store turns away every so-manieth host.
-void expectLargeChangesInTime(const FleetCase &fleetCase, std::size_t turnedAwayEach)
+/// Expects large changes to be known in time while the store rejects every host whose index is a
+/// multiple of \a rejectedEach.
+void expectLargeChangesInTime(const FleetCase &fleetCase, std::size_t rejectedEach)
 {
     for (const std::size_t valueBytes : { 45'000, 70'000, 200'000 }) {
         FakeStore store;
         for (int change = 0; change < 12; ++change)
             store.changes.push_back(ReadingFleet::begins + change * std::chrono::milliseconds(900));
         store.valueBytes = valueBytes;
-        store.turnedAwayEach = turnedAwayEach;
-        store.turnsAwayFrom = ReadingFleet::begins + settling;
-        store.turnsAwayUntil = store.turnsAwayFrom + std::chrono::seconds(30);
+        store.rejectedEach = rejectedEach;
+        store.rejectsFrom = ReadingFleet::begins + settling;
+        store.rejectsUntil = store.rejectsFrom + std::chrono::seconds(30);
         ReadingFleet fleet({ zones, fleetCase.hostsPerZone }, store, fleetCase.inForceWithin,
                            valueBytes);
-        fleet.runUntil(store.turnsAwayFrom);
+        fleet.runUntil(store.rejectsFrom);
         for (const std::uint64_t revision : { 7, 9, 12 }) {
-            EXPECT_LE(fleet.untilAllKnow(revision, std::chrono::seconds(10)),
+            EXPECT_LE(fleet.timeUntilAllKnow(revision, std::chrono::seconds(10)),
                       fleetCase.inForceWithin)
                     << valueBytes << " bytes, change " << revision;
         }
     }
 }
 
-// Guards against a configuration over the size of a message that hosts which the store turns away
-// get from nobody.
-TEST_P(ReadingFleetTest, HostsThatAreTurnedAwayKnowALargeChangeInTime)
+// Guards against hosts that the store rejects and that receive a configuration larger than one
+// message from no other host.
+TEST_P(ReadingFleetTest, RejectedHostsKnowALargeChangeInTime)
 {
-    constexpr std::size_t inAllZones = 4;
-    expectLargeChangesInTime(GetParam(), inAllZones);
+    constexpr std::size_t everyFourthHost = 4;
+    expectLargeChangesInTime(GetParam(), everyFourthHost);
 }
 
-// The same where all hosts of one zone are turned away.
+// The same if all hosts of one zone are rejected.
 TEST_P(ReadingFleetTest, AZoneThatIsTurnedAwayKnowsALargeChangeInTime)
 {
     expectLargeChangesInTime(GetParam(), zones);
 }
 
-TEST_P(ReadingFleetTest, AFewHostsOfAZoneCallTheStoreAboutOnceASecondInCalm)
+TEST_P(ReadingFleetTest, IdleReadersOfAZoneCallTheStoreAboutOnceASecond)
 {
     constexpr std::uint64_t readersOfZone = 3;
-    constexpr double mostCallsOfOne = 1.2;
+    constexpr double maxCallsPerReader = 1.2;
     const FleetCase &fleetCase = GetParam();
     const FakeStore store{ { ReadingFleet::begins }, {}, {} };
     ReadingFleet fleet({ zones, fleetCase.hostsPerZone }, store, fleetCase.inForceWithin, 1);
@@ -169,7 +173,7 @@
     fleet.runUntil(calm + span);
     const double perSecond = static_cast<double>(fleet.calls() - before) / toSeconds(span);
     const std::uint64_t readers = zones * std::min(readersOfZone, fleetCase.hostsPerZone);
-    EXPECT_LE(perSecond, mostCallsOfOne * static_cast<double>(readers));
+    EXPECT_LE(perSecond, maxCallsPerReader * static_cast<double>(readers));
 }
 
 INSTANTIATE_TEST_SUITE_P(SizesOfFleets, ReadingFleetTest,
--- a/packages/gateway/tests/published_test.cpp
+++ b/packages/gateway/tests/published_test.cpp
@@ -18,8 +18,8 @@
 
 TEST(PublishedState, NeverGoesBackToAnOlderRevision)
 {
-    // A host hears of a change from another host and then reads a stale answer of the platform. A
-    // key that was withdrawn would work again.
+    // Guards against a withdrawn key that works again because a host receives a change from another
+    // host and then reads a stale answer of the platform.
     PublishedState state;
     takeChanges(state, { 0, 9, { item("k", 9, "new") } });
     EXPECT_TRUE(takeChanges(state, { 0, 9, { item("k", 7, "old") } }).empty());
@@ -28,14 +28,14 @@
 
 TEST(PublishedState, IsCompleteOnlyUpToTheFirstPageOfAListing)
 {
-    // A listing comes in pages, and a change falls between two of them. Taken for complete up to
-    // the newest item, the watch would begin after the change and never tell of it.
+    // Guards against missing a change between two pages of a listing: if the listing counted as
+    // complete up to the newest item, the watch would begin after the change and never report it.
     PublishedState state;
     takeListing(state, { item("a", 3, "1"), item("z", 12, "2") }, 10);
     EXPECT_EQ(state.revision, 10U);
 }
 
-TEST(PublishedState, AListingDeletesWhatItLacks)
+TEST(PublishedState, ListingDeletesMissingItems)
 {
     PublishedState state;
     takeListing(state, { item("a", 3, "1"), item("b", 4, "2") }, 5);
@@ -45,7 +45,7 @@
     EXPECT_TRUE(changed.front().isDeleted);
 }
 
-TEST(PublishedState, PassesOnWhatAnotherHostLacks)
+TEST(PublishedState, SendsMissingChangesToAnotherHost)
 {
     PublishedState state;
     takeListing(state, { item("a", 3, "1"), item("b", 8, "2") }, 10);
@@ -57,84 +57,85 @@
     EXPECT_EQ(other.revision, 10U);
 }
 
-// Guards against an upstream that is never used again after its entry lapsed and came back
-// unchanged.
-TEST(PublishedState, AnEntryThatGoesAndComesBackInOneSeriesIsThereAfterwards)
+// Guards against never using an upstream again after its entry expired and was restored unchanged.
+TEST(PublishedState, EntryDeletedAndRestoredInOneSeriesIsKept)
 {
     PublishedState state;
     takeListing(state, { item("upstream", 3, "1"), item("other", 4, "2") }, 5);
-    const auto isNews = [&state](const PublishedItem &next) {
+    const auto hasChanged = [&state](const PublishedItem &next) {
         return next.isDeleted || state.items[next.key].value != next.value;
     };
     PublishedChanges changes{ 5, 9, {} };
     changes.items = { { "upstream", 6, true, {} },
                       item("other", 7, "2"),
                       item("upstream", 8, "1") };
-    keepNews(changes.items, isNews);
+    keepNews(changes.items, hasChanged);
     takeChanges(state, changes);
     EXPECT_FALSE(state.items["upstream"].isDeleted);
     EXPECT_EQ(state.items["other"].revision, 4U);
 }
 
-// Guards against hosts that all list anew at once and then can tell nobody anything.
-TEST(PublishedState, KnowsAcrossAListingWhatWasThereBeforeIt)
+// Guards against hosts that all read a new listing at once and then cannot send changes to any
+// other host.
+TEST(PublishedState, KnowsDeletionsOfEarlierItemsAcrossAListing)
 {
     PublishedState state;
     takeListing(state, { item("a", 3, "1"), item("b", 4, "2") }, 10);
     takeListing(state, { item("a", 3, "1") }, 20);
     EXPECT_FALSE(isCompleteAfter(state, 9));
     EXPECT_TRUE(isCompleteAfter(state, 10));
-    EXPECT_FALSE(isCompleteAfter(state, 15)) << "what came and went meanwhile is not known";
+    EXPECT_FALSE(isCompleteAfter(state, 15))
+            << "items created and deleted within the gap are unknown";
     EXPECT_TRUE(isCompleteAfter(state, 20));
     const PublishedChanges changes = changesAfter(state, 10);
     ASSERT_EQ(changes.items.size(), 1U);
     EXPECT_TRUE(changes.items.front().isDeleted);
 }
 
-// Guards against a host that has taken the first part of what another one knows and tells of it as
-// if it were all.
-TEST(PublishedState, BeginsWhereItsFirstTellerWasNotWhereTheFirstPartEnds)
+// Guards against a host that has received the first part of another host's state and sends it on as
+// if it were complete.
+TEST(PublishedState, IsCompleteSinceTheFirstSendersRevision)
 {
     PublishedState state;
     takeChanges(state, { 0, 7, { item("a", 7, "1") } }, 50);
     takeChanges(state, { 7, 30, { item("b", 30, "1") } }, 50);
     EXPECT_FALSE(isCompleteAfter(state, 30));
     takeListing(state, { item("a", 7, "1") }, 60);
-    EXPECT_FALSE(isCompleteAfter(state, 30)) << "it was no whole state before the listing";
+    EXPECT_FALSE(isCompleteAfter(state, 30)) << "the state before the listing was incomplete";
     EXPECT_TRUE(isCompleteAfter(state, 60));
 }
 
-TEST(PublishedState, TakesNoChangesWithAGapBeforeThem)
+TEST(PublishedState, RejectsChangesAfterAGap)
 {
     PublishedState state;
     EXPECT_TRUE(takeChanges(state, { 5, 9, { item("k", 9, "v") } }).empty());
     EXPECT_EQ(state.revision, 0U);
 }
 
-TEST(AdapterUses, AreToldUntilTheyHaveEnded)
+TEST(AdapterUses, AreSentUntilTheyEnd)
 {
     OwnUses uses;
     const AdapterPlace place{ UpstreamId{ "e" }, { "m", "a" } };
     beginUse(uses, place);
     beginUse(uses, place);
-    std::vector<AdapterUse> told = takeUntold(uses, place.first);
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_TRUE(told.front().isRunning);
-    EXPECT_EQ(told.front().begun, 2U);
+    std::vector<AdapterUse> sent = takeUntold(uses, place.first);
+    ASSERT_EQ(sent.size(), 1U);
+    EXPECT_TRUE(sent.front().isRunning);
+    EXPECT_EQ(sent.front().begun, 2U);
     endUse(uses, place);
     endUse(uses, place);
-    told = takeUntold(uses, place.first);
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_FALSE(told.front().isRunning);
+    sent = takeUntold(uses, place.first);
+    ASSERT_EQ(sent.size(), 1U);
+    EXPECT_FALSE(sent.front().isRunning);
     EXPECT_TRUE(takeUntold(uses, place.first).empty());
 }
 
-TEST(AdapterUses, OfAHostThatFellSilentEnd)
+TEST(AdapterUses, OfUnreachableHostExpire)
 {
-    // A host that used an adapter dies. Its use must not keep the place for ever.
+    // Guards against an adapter that can never be evicted because a host that used it has crashed.
     OtherUses uses;
     const AdapterRef adapter{ "m/a" };
-    noteOtherUse(uses, adapter, HostId{ "h1" }, true, shortestHeartbeat, now);
+    noteOtherUse(uses, adapter, HostId{ "h1" }, true, minHeartbeatInterval, now);
     EXPECT_TRUE(isUsedElsewhere(uses, adapter, now + std::chrono::milliseconds(400)));
     EXPECT_FALSE(isUsedElsewhere(uses, adapter, now + std::chrono::milliseconds(900)));
 }
@@ -154,13 +155,13 @@
                                 Incarnation{ 3 },
                                 std::chrono::milliseconds(40) });
     message.uses.push_back({ CustomerId{ "c" }, 1000.5, 200 });
-    EngineNews news;
-    news.engine.value = "e";
-    news.state.seenAt = now - std::chrono::milliseconds(100);
-    news.state.ordersTaken = 9;
-    news.state.models = { "m" };
-    news.state.ready = { { { "m", "a" }, 2 } };
-    message.engines.push_back(news);
+    EngineNews update;
+    update.engine.value = "e";
+    update.state.seenAt = now - std::chrono::milliseconds(100);
+    update.state.ordersTaken = 9;
+    update.state.models = { "m" };
+    update.state.ready = { { { "m", "a" }, 2 } };
+    message.engines.push_back(update);
     message.adapterUses.push_back({ UpstreamId{ "e" }, { "m", "a" }, true, 3 });
     message.promptWork.push_back({ UpstreamId{ "e" }, 1800 });
     message.loadRequests.push_back({ UpstreamId{ "e" }, { "m", "b" } });
@@ -169,7 +170,7 @@
     return message;
 }
 
-TEST(GossipCodec, BringsBackWhatWasSent)
+TEST(GossipCodec, RoundTrips)
 {
     const Result<Gossip> read = decodeGossip(encodeGossip(fullMessage(), now), now);
     ASSERT_TRUE(read);
@@ -185,9 +186,9 @@
     EXPECT_EQ(message.changes.front().items.front().value, "v");
 }
 
-TEST(GossipCodec, SurvivesGarbage)
+TEST(GossipCodec, HandlesCorruptDatagrams)
 {
-    // Anybody can send bytes to the port. A decoder that trusts a length in them takes all memory.
+    // Guards against a decoder that trusts a length in a forged datagram and exhausts memory.
     std::mt19937 random(7);
     const std::string good = encodeGossip(fullMessage(), now);
     for (int round = 0; round < 20'000; ++round) {
--- a/packages/gateway/tests/quarantined_requests_test.cpp
+++ b/packages/gateway/tests/quarantined_requests_test.cpp
@@ -5,7 +5,8 @@
 namespace azurewell::gateway {
 namespace {
 
-/// One host before five plain upstreams that answer look-ups, and one other host.
+/// One host with five upstreams that are not engines and serve idempotent requests, and one other
+/// host.
 class QuarantinedRequestsTest : public testing::Test
 {
 protected:
@@ -44,7 +45,7 @@
         listUpstream(this->state, listed, this->now);
     }
 
-    Actions ask(std::uint64_t content)
+    Actions sendRequest(std::uint64_t content)
     {
         RequestArrived request;
         request.request.value = ++this->lastRequest;
@@ -57,7 +58,7 @@
         return actions;
     }
 
-    Actions end(const Dispatch &sent, AttemptOutcome outcome)
+    Actions endAttempt(const Dispatch &sent, AttemptOutcome outcome)
     {
         const bool isCutOff = outcome == AttemptOutcome::Failed;
         Actions actions;
@@ -66,16 +67,17 @@
         return actions;
     }
 
-    /// Other requests are answered, so that some may be sent again.
-    void earnRetries()
+    /// Answers other requests, so that the retry budget allows retries.
+    void fillRetryBudget()
     {
         constexpr std::uint64_t others = 40;
         for (std::uint64_t content = 100; content < 100 + others; ++content)
-            this->end(this->ask(content).dispatches.front(), AttemptOutcome::Done);
+            this->endAttempt(this->sendRequest(content).dispatches.front(), AttemptOutcome::Done);
     }
 
-    /// The other host tells of ends under the request that arrived last.
-    Actions hearOfEnds(const std::vector<std::string> &upstreams)
+    /// The other host sends suspicions that \a upstreams crashed while running the request that
+    /// arrived last.
+    Actions receiveSuspicions(const std::vector<std::string> &upstreams)
     {
         const RequestDigest digest = this->state.requests.at(RequestNumber{ this->lastRequest })
                                              .digest;
@@ -96,16 +98,16 @@
     std::uint64_t lastSerial = 0;
 };
 
-// Guards against one attempt of a caller that ends one upstream after the other.
-TEST_F(QuarantinedRequestsTest, OneAttemptEndsThreeUpstreamsAtTheMost)
+// Guards against one request of a caller that crashes one upstream after the other.
+TEST_F(QuarantinedRequestsTest, OneRequestCrashesAtMostThreeUpstreams)
 {
     this->state.configuration.routes.front().mostAttempts = 5;
-    this->earnRetries();
-    Actions actions = this->ask(1);
+    this->fillRetryBudget();
+    Actions actions = this->sendRequest(1);
     int sends = 0;
     while (!actions.dispatches.empty()) {
         ++sends;
-        actions = this->end(actions.dispatches.front(), AttemptOutcome::Failed);
+        actions = this->endAttempt(actions.dispatches.front(), AttemptOutcome::Failed);
     }
     EXPECT_EQ(sends, 3);
     ASSERT_EQ(actions.refusals.size(), 1U);
@@ -113,62 +115,63 @@
     EXPECT_FALSE(actions.refusals.front().isNotRun);
 }
 
-// Guards against a refusal that says "not run" of a request that has run, or the other way round.
-TEST_F(QuarantinedRequestsTest, TheNextAttemptIsRefusedAsNotRun)
+// Guards against reporting "not run" for a request that has run, or the other way round.
+TEST_F(QuarantinedRequestsTest, NextRequestIsRefusedAsNotRun)
 {
-    const Actions first = this->ask(1);
-    this->hearOfEnds({ "d1", "d2", "d3" });
-    const Actions again = this->ask(1);
+    const Actions first = this->sendRequest(1);
+    this->receiveSuspicions({ "d1", "d2", "d3" });
+    const Actions again = this->sendRequest(1);
     EXPECT_TRUE(again.dispatches.empty());
     ASSERT_EQ(again.refusals.size(), 1U);
     EXPECT_TRUE(again.refusals.front().isNotRun);
     EXPECT_GT(again.refusals.front().retryAfter, Span(std::chrono::minutes(9)));
-    EXPECT_EQ(this->ask(2).dispatches.size(), 1U) << "another request";
+    EXPECT_EQ(this->sendRequest(2).dispatches.size(), 1U) << "a different request";
 }
 
-// Guards against copies that are at an upstream already and end it after the others are known.
-TEST_F(QuarantinedRequestsTest, ACopyThatHasNotBegunIsCalledBack)
+// Guards against copies that are already at an upstream when the request is quarantined, and crash
+// it.
+TEST_F(QuarantinedRequestsTest, CopyWithoutAnswerIsCancelled)
 {
-    const Actions sent = this->ask(1);
+    const Actions sent = this->sendRequest(1);
     ASSERT_EQ(sent.dispatches.size(), 1U);
-    const Actions heard = this->hearOfEnds({ "d1", "d2", "d3" });
-    ASSERT_EQ(heard.cancels.size(), 1U);
-    EXPECT_EQ(heard.cancels.front().request, sent.dispatches.front().request);
-    ASSERT_EQ(heard.refusals.size(), 1U);
-    EXPECT_FALSE(heard.refusals.front().isNotRun);
+    const Actions received = this->receiveSuspicions({ "d1", "d2", "d3" });
+    ASSERT_EQ(received.cancels.size(), 1U);
+    EXPECT_EQ(received.cancels.front().request, sent.dispatches.front().request);
+    ASSERT_EQ(received.refusals.size(), 1U);
+    EXPECT_FALSE(received.refusals.front().isNotRun);
 }
 
-// Guards against copies that end several upstreams before the first end is known.
-TEST_F(QuarantinedRequestsTest, ASuspectIsSentOneCopyAtATime)
+// Guards against concurrent copies that crash several upstreams before the first crash is known.
+TEST_F(QuarantinedRequestsTest, SuspectIsDispatchedOneCopyAtATime)
 {
-    const Actions first = this->ask(1);
-    this->hearOfEnds({ "d1" });
-    const Actions second = this->ask(1);
+    const Actions first = this->sendRequest(1);
+    this->receiveSuspicions({ "d1" });
+    const Actions second = this->sendRequest(1);
     EXPECT_TRUE(second.dispatches.empty());
     ASSERT_EQ(second.refusals.size(), 1U);
-    this->end(first.dispatches.front(), AttemptOutcome::Done);
-    EXPECT_EQ(this->ask(1).dispatches.size(), 1U);
+    this->endAttempt(first.dispatches.front(), AttemptOutcome::Done);
+    EXPECT_EQ(this->sendRequest(1).dispatches.size(), 1U);
 }
 
-// Guards against suspicions of requests whose upstream was taken out and ended as planned.
-TEST_F(QuarantinedRequestsTest, APlannedEndIsNoSuspicion)
+// Guards against suspecting requests whose upstream was removed and shut down as planned.
+TEST_F(QuarantinedRequestsTest, PlannedShutdownIsNoSuspicion)
 {
-    const Actions sent = this->ask(1);
+    const Actions sent = this->sendRequest(1);
     this->list(sent.dispatches.front().upstream.value, true);
-    this->end(sent.dispatches.front(), AttemptOutcome::Failed);
+    this->endAttempt(sent.dispatches.front(), AttemptOutcome::Failed);
     EXPECT_TRUE(this->state.quarantine.suspects.empty());
 }
 
-TEST_F(QuarantinedRequestsTest, AnEndIsToldToTheOthersAtTheNextTick)
+TEST_F(QuarantinedRequestsTest, CrashIsSentToOtherHostsAtTheNextTick)
 {
-    const Actions sent = this->ask(1);
-    this->hearOfEnds({});
-    this->end(sent.dispatches.front(), AttemptOutcome::Failed);
-    Actions told;
+    const Actions sent = this->sendRequest(1);
+    this->receiveSuspicions({});
+    this->endAttempt(sent.dispatches.front(), AttemptOutcome::Failed);
+    Actions ticked;
     this->now = this->now + tickInterval;
-    tick(this->state, 0, this->now, told);
+    tick(this->state, 0, this->now, ticked);
     std::size_t crashes = 0;
-    for (const SendGossip &gossip : told.gossip)
+    for (const SendGossip &gossip : ticked.gossip)
         crashes += gossip.message->crashes.size();
     EXPECT_EQ(crashes, 1U);
 }
--- a/packages/gateway/tests/reading_fleet.h
+++ b/packages/gateway/tests/reading_fleet.h
@@ -10,8 +10,8 @@
 
 namespace azurewell::gateway {
 
-/// Hosts of several zones that read one store and tell each other, on a simulated clock. A fiftieth
-/// of their messages is lost.
+/// Hosts of several zones that read one store and send each other updates, on a simulated clock.
+/// One in fifty of their messages is lost.
 class ReadingFleet
 {
 public:
@@ -45,12 +45,12 @@
         }
     }
 
-    /// How long after its confirmation the last host knows \a revision; \a longest, if it does not
-    /// by then.
-    Span untilAllKnow(std::uint64_t revision, Span longest)
+    /// Returns how long after its confirmation all hosts know \a revision, or \a timeout if they do
+    /// not by then.
+    Span timeUntilAllKnow(std::uint64_t revision, Span timeout)
     {
         const Instant confirmed = this->store.changes.at(revision - 1);
-        while (this->now - confirmed < longest) {
+        while (this->now - confirmed < timeout) {
             this->step();
             const bool isKnown = std::all_of(
                     this->hosts.begin(), this->hosts.end(),
@@ -75,7 +75,7 @@
             this->step();
     }
 
-    /// The host starts anew.
+    /// Restarts the host with a new incarnation.
     void restart(std::size_t index)
     {
         const Identity self = this->hosts[index].state.self;
@@ -100,14 +100,14 @@
         GatewayState state;
         Instant answerAt;
         Instant giveUpAt;
-        std::uint64_t askedAfter = 0;
-        bool isTurnedAway = false;
+        std::uint64_t requestedAfter = 0;
+        bool isRejected = false;
     };
 
     void step()
     {
         this->now = this->now + tickInterval;
-        const std::vector<SendGossip> arrived = std::exchange(this->onTheirWay, {});
+        const std::vector<SendGossip> arrived = std::exchange(this->inFlight, {});
         for (const SendGossip &sent : arrived)
             this->deliver(sent);
         for (Host &host : this->hosts) {
@@ -130,8 +130,7 @@
 
     void send(const Actions &actions)
     {
-        this->onTheirWay.insert(this->onTheirWay.end(), actions.gossip.begin(),
-                                actions.gossip.end());
+        this->inFlight.insert(this->inFlight.end(), actions.gossip.begin(), actions.gossip.end());
     }
 
     void readStore(Host &host, std::size_t index)
@@ -140,15 +139,15 @@
         if (readsPlatform(state, this->now)) {
             const std::optional<ReadCall> call = beginRead(state.platformReader, true, this->now);
             if (call) {
-                host.askedAfter = state.published.revision;
-                host.answerAt = this->store.answerAt(this->now, call->wait, host.askedAfter);
+                host.requestedAfter = state.published.revision;
+                host.answerAt = this->store.answerAt(this->now, call->wait, host.requestedAfter);
                 host.giveUpAt = call->giveUpAt;
-                host.isTurnedAway = this->store.turnsAway(index, this->now);
+                host.isRejected = this->store.rejects(index, this->now);
             }
         }
-        if (!state.platformReader.isUnderWay)
+        if (!state.platformReader.isCallActive)
             return;
-        if (host.isTurnedAway) {
+        if (host.isRejected) {
             noteReadFailure(state.platformReader, ReadFailure::TurnedAway, this->now);
             notePlatformFailure(state, this->now);
         } else if (this->now >= host.answerAt) {
@@ -163,23 +162,23 @@
     {
         GatewayState &state = host.state;
         const std::uint64_t revision = this->store.revisionAt(host.answerAt - FakeStore::oneWay);
-        const bool isNew = revision > host.askedAfter;
+        const bool isNew = revision > host.requestedAfter;
         noteReadAnswer(state.platformReader, isNew, this->random, this->now);
         notePlatformAnswer(state, isNew, this->now);
-        if (!this->store.hasHistoryAfter(host.askedAfter, this->now)) {
+        if (!this->store.hasHistoryAfter(host.requestedAfter, this->now)) {
             const std::string value(this->store.valueBytes, 'v');
             takeListing(state.published, { { "k", revision, false, value } }, revision);
             return;
         }
-        PublishedChanges changes{ host.askedAfter, revision, {} };
-        for (std::uint64_t next = host.askedAfter + 1; next <= revision; ++next)
+        PublishedChanges changes{ host.requestedAfter, revision, {} };
+        for (std::uint64_t next = host.requestedAfter + 1; next <= revision; ++next)
             changes.items.push_back({ "k", next, false, std::string(this->store.valueBytes, 'v') });
         takeChanges(state.published, changes);
     }
 
     const FakeStore &store;
     std::vector<Host> hosts;
-    std::vector<SendGossip> onTheirWay;
+    std::vector<SendGossip> inFlight;
     std::mt19937_64 random;
     Instant now = begins;
 };
--- a/packages/gateway/tests/zone_relay_test.cpp
+++ b/packages/gateway/tests/zone_relay_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr Span millisecond = std::chrono::milliseconds(1);
 
-/// A zone of ten hosts as one of them knows it.
+/// A zone of ten hosts as known to one of them.
 class ZoneRelayTest : public testing::Test
 {
 protected:
@@ -20,22 +20,22 @@
         this->members.self.value = "self";
         this->members.zone.value = "z";
         for (int host = 0; host < hosts; ++host)
-            this->hear("h" + std::to_string(host));
+            this->receiveFrom("h" + std::to_string(host));
     }
 
-    void hear(const std::string &name, std::uint32_t linkMbps = 20)
+    void receiveFrom(const std::string &name, std::uint32_t linkMbps = 20)
     {
         Member member;
         member.id.value = name;
         member.zone = this->members.zone;
         member.address = { name, 1 };
-        member.heardAt = this->now;
-        member.aliveAt = this->now;
+        member.lastMessageAt = this->now;
+        member.lastAliveAt = this->now;
         member.linkMbps = linkMbps;
         noteMember(this->members, member);
     }
 
-    std::string ask()
+    std::string selectedRelay()
     {
         const Member *relay = askRelay(this->members, this->members.zone, this->now);
         return relay ? relay->id.value : std::string();
@@ -46,130 +46,132 @@
     Instant now{ 1'000'000'000 };
 };
 
-RelayedNews newsOf(const std::string &host, const std::string &engine, std::int64_t micros)
+RelayedNews updateOf(const std::string &host, const std::string &engine, std::int64_t micros)
 {
-    RelayedNews news;
-    news.origin.value = host;
-    news.incarnation.value = 1;
-    news.uses = { { CustomerId{ "c" }, static_cast<double>(micros), 1 } };
-    news.engines.emplace_back();
-    news.engines.back().engine.value = engine;
-    news.engines.back().state.seenAt = Instant{ micros };
-    return news;
+    RelayedNews update;
+    update.origin.value = host;
+    update.incarnation.value = 1;
+    update.uses = { { CustomerId{ "c" }, static_cast<double>(micros), 1 } };
+    update.engines.emplace_back();
+    update.engines.back().engine.value = engine;
+    update.engines.back().state.seenAt = Instant{ micros };
+    return update;
 }
 
 TEST_F(ZoneRelayTest, HostsWithFastLinksRelay)
 {
     for (const char *name : { "h2", "h4", "h7" })
-        this->hear(name, 200);
-    EXPECT_TRUE((std::set<std::string>{ "h2", "h4", "h7" }.contains(this->ask())));
+        this->receiveFrom(name, 200);
+    EXPECT_TRUE((std::set<std::string>{ "h2", "h4", "h7" }.contains(this->selectedRelay())));
 }
 
-// A relay that died is asked for as long as it takes to notice that it is silent.
-TEST_F(ZoneRelayTest, ARelayThatDoesNotAnswerIsPassedOver)
+// Guards against sending requests to a crashed relay until its heartbeat timeout.
+TEST_F(ZoneRelayTest, UnresponsiveRelayIsSkipped)
 {
-    const std::string first = this->ask();
-    this->now = this->now + relayAnswersWithin - millisecond;
-    EXPECT_EQ(this->ask(), first);
+    const std::string first = this->selectedRelay();
+    this->now = this->now + relayAnswerTimeout - millisecond;
+    EXPECT_EQ(this->selectedRelay(), first);
     this->now = this->now + millisecond;
-    const std::string second = this->ask();
+    const std::string second = this->selectedRelay();
     EXPECT_NE(second, first);
     EXPECT_NE(second, "");
 }
 
-// A relay that answers is passed over because it was asked a long time ago.
-TEST_F(ZoneRelayTest, ARelayThatIsHeardStays)
+// Guards against skipping a relay that answers because it was first requested a long time ago.
+TEST_F(ZoneRelayTest, RespondingRelayIsKept)
 {
-    const std::string first = this->ask();
+    const std::string first = this->selectedRelay();
     for (int i = 0; i < 20; ++i) {
-        this->now = this->now + relayAnswersWithin / 2;
-        this->hear(first);
-        EXPECT_EQ(this->ask(), first);
+        this->now = this->now + relayAnswerTimeout / 2;
+        this->receiveFrom(first);
+        EXPECT_EQ(this->selectedRelay(), first);
     }
 }
 
-TEST_F(ZoneRelayTest, ARelayThatIsHeardAgainIsAskedAgain)
+TEST_F(ZoneRelayTest, RecoveredRelayIsUsedAgain)
 {
-    const std::string first = this->ask();
-    this->now = this->now + relayAnswersWithin;
-    EXPECT_NE(this->ask(), first);
-    this->hear(first);
-    EXPECT_EQ(this->ask(), first);
+    const std::string first = this->selectedRelay();
+    this->now = this->now + relayAnswerTimeout;
+    EXPECT_NE(this->selectedRelay(), first);
+    this->receiveFrom(first);
+    EXPECT_EQ(this->selectedRelay(), first);
 }
 
-TEST_F(ZoneRelayTest, NobodyIsAskedWhereNobodyLives)
+TEST_F(ZoneRelayTest, NoRelayIsSelectedIfNoneIsAlive)
 {
     this->now = this->now + std::chrono::seconds(30);
-    EXPECT_EQ(this->ask(), "");
+    EXPECT_EQ(this->selectedRelay(), "");
     EXPECT_EQ(askRelay(this->members, ZoneId{ "unknown" }, this->now), nullptr);
 }
 
-TEST(RelayedNewsTest, OfEachEngineAndCustomerTheNewestWordStays)
+TEST(RelayedNewsTest, MergeKeepsNewestUpdatePerEngineAndCustomer)
 {
-    std::map<HostId, RelayedNews> gathered;
-    mergeNews(gathered, newsOf("a", "e1", 10));
-    mergeNews(gathered, newsOf("a", "e2", 20));
-    mergeNews(gathered, newsOf("a", "e1", 30));
-    mergeNews(gathered, newsOf("b", "e1", 40));
-    ASSERT_EQ(gathered.size(), 2U);
-    const RelayedNews &fromA = gathered[HostId{ "a" }];
+    std::map<HostId, RelayedNews> collected;
+    mergeUpdate(collected, updateOf("a", "e1", 10));
+    mergeUpdate(collected, updateOf("a", "e2", 20));
+    mergeUpdate(collected, updateOf("a", "e1", 30));
+    mergeUpdate(collected, updateOf("b", "e1", 40));
+    ASSERT_EQ(collected.size(), 2U);
+    const RelayedNews &fromA = collected[HostId{ "a" }];
     ASSERT_EQ(fromA.engines.size(), 2U);
     EXPECT_EQ(fromA.engines.back().state.seenAt, Instant{ 30 });
     ASSERT_EQ(fromA.uses.size(), 1U);
     EXPECT_EQ(fromA.uses.front().admitted, 30);
 }
 
-// What a host admitted in its earlier life is told as of its present one.
-TEST(RelayedNewsTest, ARestartedHostBeginsAnew)
+// Guards against attributing what a host admitted in its earlier incarnation to its current one.
+TEST(RelayedNewsTest, RestartedHostReplacesEarlierUpdates)
 {
-    std::map<HostId, RelayedNews> gathered;
-    mergeNews(gathered, newsOf("a", "e1", 10));
-    RelayedNews later = newsOf("a", "e2", 5);
+    std::map<HostId, RelayedNews> collected;
+    mergeUpdate(collected, updateOf("a", "e1", 10));
+    RelayedNews later = updateOf("a", "e2", 5);
     later.incarnation.value = 2;
-    mergeNews(gathered, later);
-    EXPECT_EQ(gathered[HostId{ "a" }].engines.size(), 1U);
-    EXPECT_EQ(gathered[HostId{ "a" }].uses.front().admitted, 5);
+    mergeUpdate(collected, later);
+    EXPECT_EQ(collected[HostId{ "a" }].engines.size(), 1U);
+    EXPECT_EQ(collected[HostId{ "a" }].uses.front().admitted, 5);
 }
 
-// The news of two hundred hosts at once are larger than a datagram, and are dropped whole.
+// Guards against the updates of two hundred hosts at once exceeding a datagram and being dropped
+// entirely.
 TEST(RelayedNewsTest, EachPartFitsIntoADatagram)
 {
-    std::map<HostId, RelayedNews> gathered;
+    std::map<HostId, RelayedNews> collected;
     constexpr int hosts = 200;
     constexpr int customers = 19;
     constexpr std::size_t largestPart = 20'000;
     for (int host = 0; host < hosts; ++host) {
-        RelayedNews news = newsOf("host-with-a-long-name-" + std::to_string(host), "e", 1);
+        RelayedNews update = updateOf("host-with-a-long-name-" + std::to_string(host), "e", 1);
         for (int customer = 0; customer < customers; ++customer)
-            news.uses.push_back({ CustomerId{ "customer-" + std::to_string(customer) }, 1e6, 1e5 });
-        mergeNews(gathered, news);
+            update.uses.push_back(
+                    { CustomerId{ "customer-" + std::to_string(customer) }, 1e6, 1e5 });
+        mergeUpdate(collected, update);
     }
-    std::size_t told = 0;
-    for (const std::vector<RelayedNews> &part : splitNews(gathered)) {
+    std::size_t sentHosts = 0;
+    for (const std::vector<RelayedNews> &part : splitUpdates(collected)) {
         Gossip message;
         message.relayed = part;
-        told += part.size();
+        sentHosts += part.size();
         EXPECT_LT(encodeGossip(message, Instant{ 1 }).size(), largestPart);
     }
-    EXPECT_EQ(told, static_cast<std::size_t>(hosts));
+    EXPECT_EQ(sentHosts, static_cast<std::size_t>(hosts));
 }
 
-TEST(RelayedNewsTest, TravelsWhole)
+TEST(RelayedNewsTest, RoundTrips)
 {
     const Instant now{ 1'000'000 };
     Gossip message;
     message.relayTo = RelayScope::Zone;
     message.linkMbps = 200;
-    message.relayed = { newsOf("a", "e1", now.micros) };
+    message.relayed = { updateOf("a", "e1", now.micros) };
     const Result<Gossip> arrived = decodeGossip(encodeGossip(message, now), now);
     ASSERT_TRUE(arrived);
     EXPECT_EQ(arrived.value().relayTo, RelayScope::Zone);
     EXPECT_EQ(arrived.value().linkMbps, 200U);
     ASSERT_EQ(arrived.value().relayed.size(), 1U);
-    const RelayedNews &news = arrived.value().relayed.front();
-    EXPECT_EQ(news.origin.value, "a");
-    EXPECT_EQ(news.uses.front().admitted, static_cast<double>(now.micros));
-    EXPECT_EQ(news.engines.front().state.seenAt, now);
+    const RelayedNews &update = arrived.value().relayed.front();
+    EXPECT_EQ(update.origin.value, "a");
+    EXPECT_EQ(update.uses.front().admitted, static_cast<double>(now.micros));
+    EXPECT_EQ(update.engines.front().state.seenAt, now);
 }
 
 } // namespace
