--- a/packages/gateway/tests/customer_meter_test.cpp
+++ b/packages/gateway/tests/customer_meter_test.cpp
@@ -23,7 +23,7 @@
         this->members.self.value = "h0";
     }
 
-    void receive(const std::string &name, bool isLeaving = false)
+    void receiveFrom(const std::string &name, bool isLeaving = false)
     {
         noteMember(this->members,
                    { HostId{ name },
@@ -71,7 +71,7 @@
     // Guards against two hosts each admitting the whole limit when the balancer spreads a
     // customer's connections over both.
     CustomerMeter meter;
-    this->receive("h1");
+    this->receiveFrom("h1");
     noteAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 1 }, 6000, 6000, this->limits,
                           this->now);
     noteAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 1 }, 7000, 7000, this->limits,
@@ -86,7 +86,7 @@
     // Guards against exceeding the limit in a network partition, in which the unreachable host may
     // serve the same customer with half of the limit.
     CustomerMeter meter;
-    this->receive("h1");
+    this->receiveFrom("h1");
     this->now = this->now + std::chrono::seconds(3);
     EXPECT_LE(this->admitAll(meter, 50), 9000 * maxUseFactor / 2);
 }
@@ -94,7 +94,7 @@
 TEST_F(CustomerMeterTest, UsesShareOfHostThatAnnouncedLeaving)
 {
     CustomerMeter meter;
-    this->receive("h1", true);
+    this->receiveFrom("h1", true);
     this->now = this->now + std::chrono::milliseconds(500);
     EXPECT_GT(this->admitAll(meter, 50), 9000 * maxUseFactor * 0.9);
 }
@@ -119,7 +119,7 @@
 TEST_F(CustomerMeterTest, IgnoresUpdatesOfEarlierIncarnation)
 {
     CustomerMeter meter;
-    this->receive("h1");
+    this->receiveFrom("h1");
     noteAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 2 }, 100, 100, this->limits,
                           this->now);
     noteAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 1 }, 9000, 9000, this->limits,
--- a/packages/gateway/tests/fleet_exchange_test.cpp
+++ b/packages/gateway/tests/fleet_exchange_test.cpp
@@ -46,9 +46,9 @@
         return this->take(this->messageOf(host));
     }
 
-    /// Advances the clock in ticks, receiving messages from all hosts but \a silent. Returns the
-    /// messages that this host sends.
-    std::vector<SendGossip> advance(Span span, int silent = 0)
+    /// Advances the clock in ticks, receiving messages from all hosts but \a unreachable. Returns
+    /// the messages that this host sends.
+    std::vector<SendGossip> advance(Span span, int unreachable = 0)
     {
         std::vector<SendGossip> sent;
         const Instant end = this->now + span;
@@ -58,7 +58,8 @@
             tick(this->state, 0, this->now, actions);
             sent.insert(sent.end(), actions.gossip.begin(), actions.gossip.end());
             for (int host = 1; host < hosts; ++host) {
-                if (host != silent && this->now.micros / tickInterval.count() % 20 == host % 20)
+                if (host != unreachable
+                    && this->now.micros / tickInterval.count() % 20 == host % 20)
                     this->receiveFrom(host);
             }
         }
@@ -72,7 +73,7 @@
                               [&](const SendGossip &message) { return message.to.ip == host; }));
     }
 
-    static bool asksForChanges(const Actions &actions)
+    static bool requestsChanges(const Actions &actions)
     {
         return std::any_of(actions.gossip.begin(), actions.gossip.end(),
                            [](const SendGossip &sent) { return sent.message->wantsChanges; });
@@ -115,10 +116,10 @@
     setConfiguration(this->state, configuration);
     Gossip elsewhere = this->messageOf(1);
     elsewhere.newestChange = 7;
-    EXPECT_FALSE(asksForChanges(this->take(elsewhere)));
+    EXPECT_FALSE(requestsChanges(this->take(elsewhere)));
     Gossip inZone = this->messageOf(3);
     inZone.newestChange = 7;
-    EXPECT_TRUE(asksForChanges(this->take(inZone)));
+    EXPECT_TRUE(requestsChanges(this->take(inZone)));
 }
 
 TEST_F(FleetExchangeTest, SmallFleetRequestsChangesFromAnyZone)
@@ -136,7 +137,7 @@
     elsewhere.newestChange = 7;
     Actions actions;
     handle(small, elsewhere, this->now, actions);
-    EXPECT_TRUE(asksForChanges(actions));
+    EXPECT_TRUE(requestsChanges(actions));
 }
 
 TEST_F(FleetExchangeTest, ChangesAreRequestedFromOtherZonesIfTheOwnZoneLacksThem)
@@ -150,7 +151,7 @@
     elsewhere.newestChange = 7;
     this->take(elsewhere);
     this->advance(std::chrono::milliseconds(700));
-    EXPECT_TRUE(asksForChanges(this->take(elsewhere)));
+    EXPECT_TRUE(requestsChanges(this->take(elsewhere)));
 }
 
 TEST_F(FleetExchangeTest, RequesterGetsMissingChanges)
