--- a/packages/calls/include/azurewell/calls/call_ledger.h
+++ b/packages/calls/include/azurewell/calls/call_ledger.h
@@ -11,54 +11,55 @@
 
 namespace azurewell {
 
-/// The memory of one instance for the calls whose numbers it issued. It answers the load pattern of
-/// callers that repeat a filing after a broken connection, at whichever host the balancer picks.
-/// Without it two hosts that each get the call once send it once each, and it runs twice.
+/// Records of the calls whose numbers one host incarnation issued. Callers repeat a call after a
+/// broken connection, at whichever host the balancer picks. Without these records, two hosts that
+/// each receive the call once would both send it, and it would run twice.
 
-/// The answer of an upstream, held for repeats.
+/// The answer of an upstream, stored for repeats of the call.
 struct HeldAnswer
 {
-    int status = 0; ///< 0 where no answer is held.
+    int status = 0; ///< HTTP status; 0 means that no answer is stored.
     std::string contentType;
     std::string body;
 };
 
-/// What became of a call, by the host that had the permit to run it.
+/// The outcome of a call, as reported by the host that held its permit.
 enum class CallOutcome : std::uint8_t {
     Done,    ///< The upstream answered.
-    NotRun,  ///< Not one byte was sent, and none will be.
-    Unknown, ///< It was sent and no whole answer came.
+    NotRun,  ///< No byte was sent, and none will be.
+    Unknown, ///< The call was sent and no complete answer arrived.
 };
 
-/// What an instance says to a host that asks whether it may run a call.
+/// The issuer's decision on a permit request.
 enum class PermitVerdict : std::uint8_t {
-    Granted,    ///< The asker may run it, until the permit's end.
-    InProgress, ///< Another host has the permit.
-    Done,       ///< It ran; the answer follows if it is still held.
-    Unknown,    ///< It may have run.
-    Expired,    ///< Too old to tell.
-    Invalid,    ///< This instance issued no such number to the customer.
-    Withdrawn,  ///< The asker itself has given this permit back; a late copy of its ask.
+    Granted,    ///< The requester may run the call until the permit expires.
+    InProgress, ///< Another request holds the permit.
+    Done,       ///< The call ran; the answer is included if it is still stored.
+    Unknown,    ///< The call may have run.
+    Expired,    ///< The record was evicted; whether the call ran is not known.
+    Invalid,    ///< This incarnation issued no such number to the customer.
+    Withdrawn,  ///< The requester returned this permit before; the request is a late duplicate.
 };
 inline constexpr std::size_t permitVerdictCount = 7;
 
 struct PermitAnswer
 {
     PermitVerdict verdict = PermitVerdict::Unknown;
-    Span length{}; ///< Granted: the asker counts it from when it *sent* its first ask.
+    /// Set if granted: duration, counted from when the requester sent its first request.
+    Span length{};
     HeldAnswer answer;
 };
 
-/// An ask for the permit of one call.
+/// Requests the permit of one call.
 struct PermitAsk
 {
     CallNumber number;
     CustomerId customer;
-    RequestId request; ///< Of the caller's request; its host asks for it again under the same id.
+    RequestId request; ///< The caller's request; retransmissions use the same id.
     Span untilDeadline{};
 };
 
-/// What the holder of a permit reports.
+/// Reports the outcome of a call to the issuer of its number.
 struct OutcomeReport
 {
     CallNumber number;
@@ -74,14 +75,14 @@
 {
     CallPhase phase = CallPhase::Permitted;
     RequestId holder;
-    Instant permitEnds; ///< The holder sends nothing from then on.
-    Instant outcomeDue; ///< Without a report until then the outcome is unknown.
-    Instant keptUntil;  ///< Forgotten from then on, and the watermark rises.
+    Instant permitEnds;      ///< The holder does not send the call from then on.
+    Instant outcomeDeadline; ///< If no report arrives by then, the outcome is unknown.
+    Instant retainedUntil; ///< The record may be evicted from then on, which raises the watermark.
     HeldAnswer answer;
 };
 
-/// The numbers of one customer. A number at or below the watermark has no record and gets no permit
-/// any more: forgetting is always safe, since what was forgotten is never run.
+/// The call numbers of one customer. A number at or below the watermark has no record and gets no
+/// permit, so evicting a record is always safe: a call without a record is never run.
 struct CustomerCalls
 {
     std::uint64_t issued = 0;
@@ -89,12 +90,12 @@
     std::map<std::uint64_t, CallRecord> records;
 };
 
-/// Deliberate faults, each of which a test uses to show that its check can fail.
+/// Faults injected by tests to show that each check can fail.
 enum class CallFault : std::uint8_t {
     None,
-    GrantsTwice,     ///< Gives a second permit while the first is out.
-    KeepsWatermark,  ///< Forgets a record and leaves the watermark where it was.
-    RegrantsUnknown, ///< Takes "no report came" for "not run".
+    GrantsTwice,     ///< Grants a second permit while the first is valid.
+    KeepsWatermark,  ///< Evicts a record without raising the watermark.
+    RegrantsUnknown, ///< Treats a missing report as "not run".
 };
 
 struct CallLedger
@@ -105,40 +106,41 @@
     std::unordered_map<CustomerId, CustomerCalls> customers;
     std::size_t records = 0;
     std::size_t answerBytes = 0;
-    std::deque<std::pair<CustomerId, std::uint64_t>> answered; ///< Oldest held answer first.
+    /// Calls with a stored answer, oldest first.
+    std::deque<std::pair<CustomerId, std::uint64_t>> answeredCalls;
     CallFault fault = CallFault::None;
 };
 
-/// Records of one instance. At 390 hosts and 10,000 requests a second a host gets 26 a second;
-/// if every tenth may not be repeated, this holds 52 minutes of them.
-inline constexpr std::size_t mostCallRecords = 8192;
-/// A longer answer is not held; a repeat then hears "already done" without it.
+/// Maximum number of records per incarnation. At 390 hosts and 10,000 requests a second a host gets
+/// 26 a second; if a tenth of them are not idempotent, this holds 52 minutes of calls.
+inline constexpr std::size_t maxCallRecords = 8192;
+/// A longer answer body is not stored; a repeat then gets "already done" without it.
 inline constexpr std::size_t longestHeldAnswer = 4096;
-inline constexpr std::size_t mostHeldAnswerBytes = 1U << 20;
-/// How long a settled call is remembered where the bounds allow.
-inline constexpr Span callHorizon = fromSeconds(3600);
-/// The longest time from the ask to the last moment at which the call may be sent.
-inline constexpr Span longestPermit = fromSeconds(5);
-/// How long after the request's deadline a report is waited for.
-inline constexpr Span reportGrace = fromSeconds(2);
-
-/// A new number for \a customer. Takes no memory for it until it is used.
+inline constexpr std::size_t maxTotalAnswerBytes = 1U << 20;
+/// How long the record of a finished call is kept if the size limits allow.
+inline constexpr Span callRetention = fromSeconds(3600);
+/// Maximum time between the permit request and the last moment at which the call may be sent.
+inline constexpr Span maxPermitDuration = fromSeconds(5);
+/// How long after the request's deadline the issuer waits for the outcome report.
+inline constexpr Span outcomeReportGrace = fromSeconds(2);
+
+/// Returns a new number for \a customer. Uses no memory until a permit for it is requested.
 CallNumber issueCallNumber(CallLedger &ledger, const CustomerId &customer);
 
-/// Decides on \a ask. The same ask again (its answer was lost) gets the same answer.
-PermitAnswer askPermit(CallLedger &ledger, const PermitAsk &ask, Instant now);
+/// Decides on \a ask. A retransmitted request gets the same answer.
+PermitAnswer decidePermit(CallLedger &ledger, const PermitAsk &ask, Instant now);
 
-/// Notes what the holder reports; a report of any other request changes nothing.
-void noteOutcome(CallLedger &ledger, const OutcomeReport &report, Instant now);
+/// Records the outcome reported by the permit holder; ignores reports of other requests.
+void recordOutcome(CallLedger &ledger, const OutcomeReport &report, Instant now);
 
-/// Forgets what is past its horizon.
-void forgetOldCalls(CallLedger &ledger, Instant now);
+/// Evicts records whose retention time has passed.
+void evictExpiredCalls(CallLedger &ledger, Instant now);
 
-/// Whether a call with \a number has certainly not been permitted to anybody.
+/// Whether certainly no request holds or has used a permit for \a number.
 bool isCertainlyUnused(const CallLedger &ledger, const CallNumber &number,
                        const CustomerId &customer);
 
-/// Calls that were permitted and whose report is still awaited.
+/// Number of calls that hold a permit and whose outcome report is awaited.
 std::size_t openCalls(const CallLedger &ledger, Instant now);
 
 } // namespace azurewell
--- a/packages/calls/src/call_ledger.cpp
+++ b/packages/calls/src/call_ledger.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-/// The sequence of \a number if this instance issued it to \a customer, else 0.
+/// The sequence of the call number \a parts if this incarnation issued it to \a customer, else 0.
 std::uint64_t sequenceOf(const CallLedger &ledger, const CallNumberParts &parts,
                          const CustomerId &customer)
 {
     const auto found = ledger.customers.find(customer);
     const bool isIssued = found != ledger.customers.end() && parts.sequence > 0
             && parts.sequence <= found->second.issued
-            && parts.check == checkOf(ledger.secret, customer, parts.sequence);
+            && parts.check == checksumOf(ledger.secret, customer, parts.sequence);
     return isIssued ? parts.sequence : 0;
 }
 
@@ -28,9 +28,9 @@
     record.answer = HeldAnswer{};
 }
 
-/// Forgets the customer's oldest record. The watermark rises to it, since whoever repeats that call
-/// later would otherwise look like a first caller and run it again.
-void forgetOldest(CallLedger &ledger, CustomerCalls &calls)
+/// Evicts the customer's oldest record and raises the watermark to it. Without the watermark, a
+/// later repeat of that call would look like a first request and run again.
+void evictOldest(CallLedger &ledger, CustomerCalls &calls)
 {
     const auto oldest = calls.records.begin();
     if (ledger.fault != CallFault::KeepsWatermark)
@@ -40,17 +40,17 @@
     --ledger.records;
 }
 
-/// Makes room by forgetting of the customer with the most records, so that one that uses very many
-/// numbers shortens its own memory and nobody else's.
-void makeRoom(CallLedger &ledger)
+/// Evicts a record of the customer with the most records, so that a customer that uses very many
+/// numbers only shortens its own history.
+void evictIfFull(CallLedger &ledger)
 {
-    if (ledger.records < mostCallRecords)
+    if (ledger.records < maxCallRecords)
         return;
     const auto hasFewer = [](const auto &a, const auto &b) {
         return a.second.records.size() < b.second.records.size();
     };
     const auto most = std::max_element(ledger.customers.begin(), ledger.customers.end(), hasFewer);
-    forgetOldest(ledger, most->second);
+    evictOldest(ledger, most->second);
 }
 
 CallRecord *findRecord(CallLedger &ledger, const CustomerId &customer, std::uint64_t sequence)
@@ -64,12 +64,12 @@
 
 PermitAnswer grant(CallRecord &record, const PermitAsk &ask, Instant now)
 {
-    const Span length = std::min(longestPermit, ask.untilDeadline);
+    const Span length = std::min(maxPermitDuration, ask.untilDeadline);
     record.phase = CallPhase::Permitted;
     record.holder = ask.request;
     record.permitEnds = now + length;
-    record.outcomeDue = now + ask.untilDeadline + reportGrace;
-    record.keptUntil = record.outcomeDue + callHorizon;
+    record.outcomeDeadline = now + ask.untilDeadline + outcomeReportGrace;
+    record.retainedUntil = record.outcomeDeadline + callRetention;
     return PermitAnswer{ PermitVerdict::Granted, length, {} };
 }
 
@@ -78,11 +78,11 @@
 {
     if (record.holder == ask.request)
         return PermitAnswer{ PermitVerdict::Granted,
-                             std::min(longestPermit, ask.untilDeadline),
+                             std::min(maxPermitDuration, ask.untilDeadline),
                              {} };
     if (ledger.fault == CallFault::GrantsTwice)
         return grant(record, ask, now);
-    if (now < record.outcomeDue)
+    if (now < record.outcomeDeadline)
         return PermitAnswer{ PermitVerdict::InProgress, {}, {} };
     if (ledger.fault == CallFault::RegrantsUnknown)
         return grant(record, ask, now);
@@ -107,17 +107,18 @@
     return PermitAnswer{ PermitVerdict::Unknown, {}, {} };
 }
 
-void holdAnswer(CallLedger &ledger, const OutcomeReport &report, std::uint64_t sequence,
-                CallRecord &record)
+void storeAnswer(CallLedger &ledger, const OutcomeReport &report, std::uint64_t sequence,
+                 CallRecord &record)
 {
     if (report.answer.status == 0 || report.answer.body.size() > longestHeldAnswer)
         return;
     record.answer = report.answer;
     ledger.answerBytes += record.answer.body.size();
-    ledger.answered.emplace_back(report.customer, sequence);
-    while (ledger.answerBytes > mostHeldAnswerBytes || ledger.answered.size() > mostCallRecords) {
-        const auto [customer, oldest] = ledger.answered.front();
-        ledger.answered.pop_front();
+    ledger.answeredCalls.emplace_back(report.customer, sequence);
+    while (ledger.answerBytes > maxTotalAnswerBytes
+           || ledger.answeredCalls.size() > maxCallRecords) {
+        const auto [customer, oldest] = ledger.answeredCalls.front();
+        ledger.answeredCalls.pop_front();
         if (CallRecord *old = findRecord(ledger, customer, oldest))
             dropAnswer(ledger, *old);
     }
@@ -129,13 +130,13 @@
 {
     const std::uint64_t sequence = ++ledger.customers[customer].issued;
     return formatCallNumber(CallNumberParts{ ledger.host, ledger.incarnation, sequence,
-                                             checkOf(ledger.secret, customer, sequence) });
+                                             checksumOf(ledger.secret, customer, sequence) });
 }
 
-PermitAnswer askPermit(CallLedger &ledger, const PermitAsk &ask, Instant now)
+PermitAnswer decidePermit(CallLedger &ledger, const PermitAsk &ask, Instant now)
 {
     const std::optional<CallNumberParts> parts = parseCallNumber(ask.number);
-    if (!parts || !isOwn(ledger, *parts)) // another life of this host may have permitted it
+    if (!parts || !isOwn(ledger, *parts)) // another incarnation may have permitted it
         return PermitAnswer{ PermitVerdict::Unknown, {}, {} };
     const std::uint64_t sequence = sequenceOf(ledger, *parts, ask.customer);
     if (sequence == 0)
@@ -144,15 +145,15 @@
         return answerKnown(ledger, *record, ask, now);
     if (sequence <= ledger.customers[ask.customer].watermark)
         return PermitAnswer{ PermitVerdict::Expired, {}, {} };
-    makeRoom(ledger);
+    evictIfFull(ledger);
     CustomerCalls &calls = ledger.customers[ask.customer];
-    if (sequence <= calls.watermark) // making room raised it past this very number
+    if (sequence <= calls.watermark) // the eviction raised it past this number
         return PermitAnswer{ PermitVerdict::Expired, {}, {} };
     ++ledger.records;
     return grant(calls.records[sequence], ask, now);
 }
 
-void noteOutcome(CallLedger &ledger, const OutcomeReport &report, Instant now)
+void recordOutcome(CallLedger &ledger, const OutcomeReport &report, Instant now)
 {
     const std::optional<CallNumberParts> parts = parseCallNumber(report.number);
     if (!parts || !isOwn(ledger, *parts))
@@ -161,13 +162,13 @@
     CallRecord *record = findRecord(ledger, report.customer, sequence);
     const bool isOpen = record && record->holder == report.request
             && (record->phase == CallPhase::Permitted || record->phase == CallPhase::Unknown);
-    if (!isOpen) // a late copy, or of a request that has given its permit back
+    if (!isOpen) // a duplicate report, or one of a request that returned its permit
         return;
-    record->keptUntil = now + callHorizon;
+    record->retainedUntil = now + callRetention;
     switch (report.outcome) {
     case CallOutcome::Done:
         record->phase = CallPhase::Done;
-        holdAnswer(ledger, report, sequence, *record);
+        storeAnswer(ledger, report, sequence, *record);
         return;
     case CallOutcome::NotRun:
         record->phase = CallPhase::Returned;
@@ -178,11 +179,11 @@
     }
 }
 
-void forgetOldCalls(CallLedger &ledger, Instant now)
+void evictExpiredCalls(CallLedger &ledger, Instant now)
 {
     for (auto &[id, calls] : ledger.customers) {
-        while (!calls.records.empty() && calls.records.begin()->second.keptUntil <= now)
-            forgetOldest(ledger, calls);
+        while (!calls.records.empty() && calls.records.begin()->second.retainedUntil <= now)
+            evictOldest(ledger, calls);
     }
 }
 
@@ -207,7 +208,7 @@
     std::size_t open = 0;
     for (const auto &[id, calls] : ledger.customers) {
         for (const auto &[sequence, record] : calls.records)
-            open += record.phase == CallPhase::Permitted && now < record.outcomeDue ? 1 : 0;
+            open += record.phase == CallPhase::Permitted && now < record.outcomeDeadline ? 1 : 0;
     }
     return open;
 }
--- a/packages/calls/src/call_number.cpp
+++ b/packages/calls/src/call_number.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr std::size_t checkDigits = 8;
-/// Longer than any number that a host issues; what is longer is not looked at.
-constexpr std::size_t longestNumber = 200;
+/// Longer than any number that a host issues; longer texts are rejected unparsed.
+constexpr std::size_t maxNumberLength = 200;
 
-/// Cuts what follows the last point off \a text.
-std::string_view takeLast(std::string_view &text)
+/// Removes and returns the part of \a text after its last dot; empty if there is no dot.
+std::string_view takeLastField(std::string_view &text)
 {
     const std::size_t point = text.rfind('.');
     if (point == std::string_view::npos)
@@ -54,12 +54,12 @@
 
 std::optional<CallNumberParts> parseCallNumber(const CallNumber &number)
 {
-    if (number.value.size() > longestNumber)
+    if (number.value.size() > maxNumberLength)
         return std::nullopt;
     std::string_view rest = number.value;
-    const std::string_view check = takeLast(rest);
-    const std::string_view sequence = takeLast(rest);
-    const std::string_view incarnation = takeLast(rest);
+    const std::string_view check = takeLastField(rest);
+    const std::string_view sequence = takeLastField(rest);
+    const std::string_view incarnation = takeLastField(rest);
     CallNumberParts parts;
     const bool isRead = check.size() == checkDigits && readNumber(check, parts.check, 16)
             && readNumber(sequence, parts.sequence, 10)
@@ -70,7 +70,7 @@
     return parts;
 }
 
-std::uint32_t checkOf(std::uint64_t secret, const CustomerId &customer, std::uint64_t sequence)
+std::uint32_t checksumOf(std::uint64_t secret, const CustomerId &customer, std::uint64_t sequence)
 {
     const std::string mixed = std::to_string(secret) + '/' + std::to_string(sequence);
     return static_cast<std::uint32_t>(rendezvousWeight(mixed, customer.value) >> 32);
--- a/packages/calls/tests/call_ledger_test.cpp
+++ b/packages/calls/tests/call_ledger_test.cpp
@@ -25,20 +25,20 @@
                       const CustomerId &by = customer)
     {
         const PermitAsk asked{ number, by, RequestId{ request }, fromSeconds(30) };
-        return askPermit(this->ledger, asked, this->now).verdict;
+        return decidePermit(this->ledger, asked, this->now).verdict;
     }
     void report(const CallNumber &number, const std::string &request, CallOutcome outcome)
     {
-        noteOutcome(this->ledger,
-                    OutcomeReport{ number, customer, RequestId{ request }, outcome,
-                                   HeldAnswer{ 201, "text/plain", "filed" } },
-                    this->now);
+        recordOutcome(this->ledger,
+                      OutcomeReport{ number, customer, RequestId{ request }, outcome,
+                                     HeldAnswer{ 201, "text/plain", "filed" } },
+                      this->now);
     }
 };
 
 } // namespace
 
-TEST(CallNumber, ComesBackWholeAlsoWithPointsInTheHostsName)
+TEST(CallNumber, RoundTripsWithDotsInTheHostName)
 {
     const CallNumberParts parts{ HostId{ "entry.1" }, Incarnation{ 12 }, 345, 0x00ab12cd };
     const std::optional<CallNumberParts> back = parseCallNumber(formatCallNumber(parts));
@@ -52,12 +52,12 @@
         EXPECT_FALSE(parseCallNumber(CallNumber{ bad })) << bad;
 }
 
-TEST(CallLedger, OnePermitForOneNumber)
+TEST(CallLedger, OnlyOnePermitPerNumber)
 {
     Fixture fixture;
     const CallNumber number = issueCallNumber(fixture.ledger, customer);
     EXPECT_EQ(fixture.ask(number, "a"), PermitVerdict::Granted);
-    EXPECT_EQ(fixture.ask(number, "a"), PermitVerdict::Granted) << "its answer was lost";
+    EXPECT_EQ(fixture.ask(number, "a"), PermitVerdict::Granted) << "the reply was lost";
     EXPECT_EQ(fixture.ask(number, "b"), PermitVerdict::InProgress);
     fixture.report(number, "b", CallOutcome::NotRun);
     EXPECT_EQ(fixture.ask(number, "b"), PermitVerdict::InProgress) << "only the holder reports";
@@ -66,9 +66,9 @@
     EXPECT_EQ(fixture.ask(number, "b"), PermitVerdict::Done);
 }
 
-// A host gets the permit and finds no back end. It gives the permit back, and the caller's next try
-// runs. A late copy of the first host's ask must not take the permit a second time.
-TEST(CallLedger, AReturnedPermitIsGivenOnceMore)
+// A host gets the permit, finds no back end and returns the permit, and the caller's next attempt
+// runs. A delayed duplicate of the first permit request must not be granted again.
+TEST(CallLedger, AReturnedPermitIsGrantedAgain)
 {
     Fixture fixture;
     const CallNumber number = issueCallNumber(fixture.ledger, customer);
@@ -80,8 +80,8 @@
     EXPECT_EQ(fixture.ask(number, "c"), PermitVerdict::InProgress);
 }
 
-// The host that held the permit is replaced and never reports. Nobody can tell whether the call
-// ran, and nobody may run it.
+// The host that holds the permit is replaced and never reports. Whether the call ran is unknown, so
+// it must not be permitted again.
 TEST(CallLedger, NoReportMeansUnknownAndNeverNotRun)
 {
     Fixture fixture;
@@ -91,12 +91,13 @@
     EXPECT_EQ(fixture.ask(number, "b"), PermitVerdict::Unknown);
     EXPECT_FALSE(isCertainlyUnused(fixture.ledger, number, customer));
     fixture.ledger.fault = CallFault::RegrantsUnknown;
-    EXPECT_EQ(fixture.ask(number, "b"), PermitVerdict::Granted) << "what the fault would do";
+    EXPECT_EQ(fixture.ask(number, "b"), PermitVerdict::Granted)
+            << "the effect of the injected fault";
 }
 
-// A caller mistypes a number, uses another customer's, or repeats one that the host's earlier life
-// issued. Only the last can have run.
-TEST(CallLedger, NumbersOfOthersAreToldApart)
+// A caller mistypes a number, uses another customer's, or repeats one that an earlier incarnation
+// of the host issued. Only the last call can have run.
+TEST(CallLedger, InvalidAndForeignNumbersAreDistinguished)
 {
     Fixture fixture;
     const CallNumber number = issueCallNumber(fixture.ledger, customer);
@@ -108,9 +109,9 @@
     EXPECT_TRUE(fixture.ledger.customers.at(other).records.empty());
 }
 
-// A customer makes far more calls than the memory holds, then repeats its oldest. The record is
-// gone; the call must not run again, and another customer's records must still be there.
-TEST(CallLedger, AtTheBoundTheOldestAreTooOldToTell)
+// A customer makes far more calls than the ledger holds, then repeats its oldest, whose record was
+// evicted. That call must not run again, and another customer's records must not be evicted.
+TEST(CallLedger, EvictedCallsAreReportedAsExpired)
 {
     for (const CallFault fault : { CallFault::None, CallFault::KeepsWatermark }) {
         Fixture fixture;
@@ -121,9 +122,9 @@
         const CallNumber unused = issueCallNumber(fixture.ledger, customer);
         const CallNumber first = issueCallNumber(fixture.ledger, customer);
         EXPECT_EQ(fixture.ask(first, "r"), PermitVerdict::Granted);
-        for (std::size_t call = 0; call < mostCallRecords; ++call)
+        for (std::size_t call = 0; call < maxCallRecords; ++call)
             fixture.ask(issueCallNumber(fixture.ledger, customer), "r" + std::to_string(call));
-        EXPECT_EQ(fixture.ledger.records, mostCallRecords);
+        EXPECT_EQ(fixture.ledger.records, maxCallRecords);
         const bool isSafe = fixture.ask(first, "again") == PermitVerdict::Expired
                 && fixture.ask(unused, "late") == PermitVerdict::Expired;
         EXPECT_EQ(isSafe, fault == CallFault::None);
@@ -132,17 +133,17 @@
     }
 }
 
-TEST(CallLedger, SettledCallsAreForgottenAtTheirHorizonAndNoAnswerOutlivesTheBound)
+TEST(CallLedger, SettledCallsExpireAndStoredAnswersStayWithinTheLimit)
 {
     Fixture fixture;
     const CallNumber number = issueCallNumber(fixture.ledger, customer);
     fixture.ask(number, "a");
     fixture.report(number, "a", CallOutcome::Done);
-    fixture.now = fixture.now + callHorizon - fromSeconds(1);
-    forgetOldCalls(fixture.ledger, fixture.now);
+    fixture.now = fixture.now + callRetention - fromSeconds(1);
+    evictExpiredCalls(fixture.ledger, fixture.now);
     EXPECT_EQ(fixture.ask(number, "b"), PermitVerdict::Done);
     fixture.now = fixture.now + fromSeconds(1);
-    forgetOldCalls(fixture.ledger, fixture.now);
+    evictExpiredCalls(fixture.ledger, fixture.now);
     EXPECT_EQ(fixture.ask(number, "b"), PermitVerdict::Expired);
     EXPECT_EQ(fixture.ledger.records, 0U);
     EXPECT_EQ(fixture.ledger.answerBytes, 0U);
@@ -151,10 +152,10 @@
         const CallNumber next = issueCallNumber(fixture.ledger, customer);
         const std::string request = std::to_string(call);
         fixture.ask(next, request);
-        noteOutcome(fixture.ledger,
-                    OutcomeReport{ next, customer, RequestId{ request }, CallOutcome::Done,
-                                   HeldAnswer{ 200, "t", large } },
-                    fixture.now);
-        ASSERT_LE(fixture.ledger.answerBytes, mostHeldAnswerBytes);
+        recordOutcome(fixture.ledger,
+                      OutcomeReport{ next, customer, RequestId{ request }, CallOutcome::Done,
+                                     HeldAnswer{ 200, "t", large } },
+                      fixture.now);
+        ASSERT_LE(fixture.ledger.answerBytes, maxTotalAnswerBytes);
     }
 }
--- a/packages/fleet/include/azurewell/fleet/membership.h
+++ b/packages/fleet/include/azurewell/fleet/membership.h
@@ -9,16 +9,16 @@
 
 namespace azurewell {
 
-/// One line of the platform's host list.
+/// One entry of the platform's host list.
 struct ListedHost
 {
     HostId id;
     ZoneId zone;
-    std::string address; ///< The peer port: IP and port.
+    std::string address; ///< IP address and port of the peer listener.
     bool isLeaving = false;
 };
 
-/// Another host, as this one sees it.
+/// What this host knows of another host.
 struct Peer
 {
     HostId id;
@@ -28,59 +28,65 @@
     Incarnation incarnation;
     PeerState state = PeerState::Unheard;
     TicketNumber ticket;
-    Span lateness{};     ///< Silence beyond which it is suspect; by its own word on its interval.
-    Instant silentAfter; ///< Suspect when nothing is heard until then.
-    Instant goneAfter;   ///< Gone when nothing is heard until then.
+    /// Time without a heartbeat after which the peer is suspect; derived from the heartbeat
+    /// interval it announces.
+    Span suspectTimeout{};
+    Instant suspectDeadline; ///< Suspect if no heartbeat arrives by then.
+    Instant goneDeadline;    ///< Gone if no heartbeat arrives by then.
     bool isListed = false;
-    /// It said itself that it stops: it grants no slots any more in this incarnation.
+    /// Whether the peer announced its stop; it grants no more slots in this incarnation.
     bool hasAnnouncedLeave = false;
 };
 
-/// The other hosts: the platform's lagging list joined with what they say themselves. The list
-/// alone is late by seconds and may be stale for an hour; heartbeats alone cannot tell of a host
-/// that this one has never met.
+/// The other hosts: the platform's list merged with the received heartbeats. The list lags by
+/// seconds and may be stale for an hour; heartbeats alone do not reveal a host that never contacted
+/// this one.
 struct Membership
 {
     std::map<HostId, Peer> peers;
 };
 
-/// A peer is suspect after this silence: four lost heartbeats of half a second.
+/// A peer is suspect after this time without a heartbeat: four heartbeat intervals of 0.5 s.
 inline constexpr Span suspectAfter = fromSeconds(2);
-/// A suspect is gone after this silence; longer than every lease, so that its leases have ended.
+/// A peer is gone after this time without a heartbeat. Longer than every lease, so that the leases
+/// it held have expired.
 inline constexpr Span goneAfter = fromSeconds(10);
 
-/// Takes over the platform's list. An empty list is ignored: the platform has lost its data, not
-/// the fleet.
+/// Applies the platform's host list. An empty list is ignored: the platform has lost its data, but
+/// the hosts still run.
 void applyHostList(Membership &membership, const Chart &chart, const HostId &self,
                    const std::vector<ListedHost> &listed);
 
-/// Notes a heartbeat. False where the sender's incarnation is older than one already heard: a
-/// process that was replaced and woke up late; nothing it says may be used.
-bool noteHeartbeat(Membership &membership, const Chart &chart, const HostId &sender,
-                   Incarnation incarnation, const Heartbeat &beat, Instant now);
+/// Records a heartbeat. Returns false if the sender's incarnation is older than the newest known
+/// one: the message comes from a process that was replaced and resumed later, and nothing in it may
+/// be used.
+bool recordHeartbeat(Membership &membership, const Chart &chart, const HostId &sender,
+                     Incarnation incarnation, const Heartbeat &beat, Instant now);
 
-/// Moves silent peers to suspect and gone.
-void noteSilence(Membership &membership, const Chart &chart, Instant now);
+/// Marks peers whose heartbeats are overdue as suspect or gone.
+void updateUnreachablePeers(Membership &membership, const Chart &chart, Instant now);
 
-/// After this process was stopped: no peer counts as silent for the time in which nobody listened.
-void forgiveSilence(Membership &membership, Instant now);
+/// To be called after this process was suspended. Extends the heartbeat deadlines, so that no peer
+/// becomes suspect for the time in which this host received nothing.
+void extendHeartbeatDeadlines(Membership &membership, Instant now);
 
-/// This host, unless \a isSelfLeaving, and the usable peers of \a zone, sorted: those that may keep
-/// the zone's engines. A leaving host that has no usable peer remains.
-std::vector<HostId> usableHostsOf(const Membership &membership, const HostId &self,
-                                  bool isSelfLeaving, const ZoneId &zone);
+/// This host, unless \a isSelfLeaving, and the usable peers of \a zone, sorted: the hosts that may
+/// coordinate the zone's engines. Contains this host if it would otherwise be empty.
+std::vector<HostId> usableHosts(const Membership &membership, const HostId &self,
+                                bool isSelfLeaving, const ZoneId &zone);
 
-/// The peers of \a zone that can still be running and granting slots: listed or heard, also when
-/// silent, but for those that announced their leave.
-std::vector<HostId> possibleHostsOf(const Membership &membership, const ZoneId &zone);
+/// The peers of \a zone that may still run and grant slots: listed or recently alive, also if
+/// unreachable, except those that announced their stop.
+std::vector<HostId> possiblyRunningHosts(const Membership &membership, const ZoneId &zone);
 
-/// Whether work may be asked of \a id.
+/// Whether new work may be requested from \a id.
 bool isUsable(const Membership &membership, const HostId &id);
 
-/// The host that keeps \a engine of \a zone, among this host and the usable peers: the highest
-/// rendezvous weight in the engine's zone; if the zone has no host, over all zones.
-std::optional<HostId> keeperOf(const Membership &membership, const HostId &self,
-                               const ZoneId &selfZone, bool isSelfLeaving, const UpstreamId &engine,
-                               const ZoneId &zone);
+/// The coordinator of \a engine among this host and the usable peers: the host with the highest
+/// rendezvous weight in \a zone, or over all zones if \a zone has no usable host. std::nullopt if
+/// there is no usable host at all.
+std::optional<HostId> coordinatorOf(const Membership &membership, const HostId &self,
+                                    const ZoneId &selfZone, bool isSelfLeaving,
+                                    const UpstreamId &engine, const ZoneId &zone);
 
 } // namespace azurewell
--- a/packages/fleet/include/azurewell/fleet/messages.h
+++ b/packages/fleet/include/azurewell/fleet/messages.h
@@ -14,41 +14,47 @@
 
 namespace azurewell {
 
-/// What a keeper tells every host about one engine it keeps.
+/// State of one engine, sent by its coordinator to every host.
 struct EngineSummary
 {
     UpstreamId engine;
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
     std::vector<AdapterRef> loaded;
-    std::uint32_t openSlots = 0;    ///< Adapter slots that a load could use now.
-    std::vector<AdapterRef> wanted; ///< Being loaded, or waited for.
-    bool isPartial = false; ///< `loaded` is left out: it has not changed, or the receiver is far.
+    std::uint32_t openSlots = 0;    ///< Adapter slots that are free for a load now.
+    std::vector<AdapterRef> wanted; ///< Adapters that are loading or that requests wait for.
+    /// `loaded` is omitted: it has not changed, or the receiver is in a distant zone.
+    bool isPartial = false;
 };
 
-/// The age of news that never came; also that of a neighbour whose version does not tell.
-inline constexpr Span noNews{ std::numeric_limits<std::int64_t>::max() };
+/// Stands for "no update received yet"; also assumed for a peer whose version does not send the
+/// age.
+inline constexpr Span noUpdateReceived{ std::numeric_limits<std::int64_t>::max() };
 
-/// "I am alive", sent to every other host once a heartbeat interval.
+/// Sent to every other host once per heartbeat interval.
 struct Heartbeat
 {
-    TicketNumber ticket;    ///< The newest ticket in force at the sender.
-    bool isLeaving = false; ///< The sender drains: ask it for nothing new.
+    TicketNumber ticket;    ///< Newest ticket in force at the sender.
+    bool isLeaving = false; ///< The sender is draining and accepts no new work.
     std::vector<EngineSummary> engines;
     ZoneId zone;
     SeatNumber seat;
-    std::string address;          ///< Where the sender's peer port listens.
-    FencingNumber highestFencing; ///< The highest fencing number the sender has seen.
-    std::uint64_t serial = 0;     ///< Rises with each heartbeat, ask and renewal of the sender.
-    std::uint64_t echo = 0;       ///< The newest `serial` that the sender has from the receiver.
-    std::uint64_t view = 0; ///< The hosts by which the sender lets engines be kept, promised until
-                            ///< promiseLength after the receiver sent `echo`; 0 promises nothing.
-    std::uint32_t viewEpoch = 0; ///< Counts the views of the sender's life.
-    Span nextWithin{};           ///< The sender's next heartbeat to the receiver is due within.
-    Span newsAge = noNews; ///< Since the newest word of the configuration service that it knows of.
-};
-
-/// Asks an engine's keeper for a slot.
+    std::string address;          ///< IP address and port of the sender's peer listener.
+    FencingNumber highestFencing; ///< Highest fencing number that the sender has seen.
+    /// Increases with each heartbeat, slot request and renewal of the sender.
+    std::uint64_t serial = 0;
+    std::uint64_t echo = 0; ///< Newest `serial` that the sender has received from the receiver.
+    /// Number of the view that the sender promises until promiseDuration after the receiver sent
+    /// `echo`; 0 promises nothing.
+    std::uint64_t view = 0;
+    std::uint32_t viewEpoch = 0; ///< Number of views adopted in the sender's incarnation.
+    /// Maximum time until the sender's next heartbeat to the receiver.
+    Span nextHeartbeatTimeout{};
+    /// Time since the newest response of the configuration service that the sender knows of.
+    Span updateAge = noUpdateReceived;
+};
+
+/// Requests a slot from an engine's coordinator.
 struct SlotAsk
 {
     RequestId request;
@@ -58,23 +64,27 @@
     Tokens cost;
     double weight = 1.0;
     Span untilDeadline{};
-    std::uint64_t serial = 0; ///< Rises with each ask and renewal of the sender.
-    std::uint32_t round = 0;  ///< Which seeking of a slot for this request it is.
+    std::uint64_t serial = 0; ///< Increases with each slot request and renewal of the sender.
+    std::uint32_t round = 0;  ///< Number of the attempt to obtain a slot for this request.
 };
 
-/// The slot is the asker's for a lease. The keeper counts it from the grant. The asker counts it
-/// from when it sent the newest ask or renewal that the keeper had received by then (`basis`),
-/// which was earlier, so the asker's lease always ends first, however late the grant arrives.
+/// Grants a slot for one lease. The coordinator counts the lease from the grant. The requester
+/// counts it from when it sent the newest request or renewal that the coordinator had received by
+/// then (`basis`). That was earlier, so the requester's lease always ends first, however late the
+/// grant arrives.
 struct SlotGrant
 {
     RequestId request;
     UpstreamId engine;
     Span leaseLength{};
-    std::uint64_t basis = 0; ///< The `serial` the lease is counted from.
-    std::uint32_t round = 0; ///< Of the ask; a grant of an earlier one must not be used.
+    /// The `serial` of the message from whose sending the lease is counted.
+    std::uint64_t basis = 0;
+    /// Round of the slot request; a grant of an earlier round must not be used.
+    std::uint32_t round = 0;
 };
 
-/// SlotLost as `code` means: this host does not keep the engine (any more), ask again.
+/// Rejects a slot request. The code SlotLost means that the sender does not coordinate the engine
+/// and that the request should be sent again.
 struct SlotRefusal
 {
     RequestId request;
@@ -83,17 +93,17 @@
     std::uint32_t round = 0;
 };
 
-/// One request of a SlotRenewal.
+/// One request listed in a SlotRenewal.
 struct RunningSlot
 {
     RequestId request;
     AdapterRef adapter;
-    bool isRunning = false; ///< False while it still waits for a slot.
+    bool isRunning = false; ///< False while the request still waits for a slot.
     std::uint32_t round = 0;
 };
 
-/// These requests still wait or run. Slots and pins of running ones last for another lease; a
-/// keeper that has just taken over learns of them from this message.
+/// Lists requests that still wait or run. Extends the slots and adapter pins of the running ones by
+/// another lease; a new coordinator learns of them from this message.
 struct SlotRenewal
 {
     UpstreamId engine;
@@ -101,39 +111,39 @@
     std::uint64_t serial = 0;
 };
 
-/// The keeper has renewed what `basis` listed.
+/// Confirms the renewal whose serial is `basis`.
 struct SlotRenewed
 {
     UpstreamId engine;
     std::uint64_t basis = 0;
     Span leaseLength{};
-    std::vector<RequestId> lost; ///< Listed but not renewed: their adapter is not theirs any more.
+    std::vector<RequestId> lost; ///< Requests that were not renewed: their adapter may be unloaded.
 };
 
 struct SlotRelease
 {
     RequestId request;
     UpstreamId engine;
-    Tokens used;             ///< Prompt and generated tokens; corrects the fair queue's charge.
-    std::uint32_t round = 0; ///< A late release of an earlier round must not free a later slot.
-    /// The attempt was cut short and may still run at the engine for a moment.
+    Tokens used; ///< Prompt and generated tokens; corrects the charge in the fair queue.
+    std::uint32_t round = 0; ///< A delayed release of an earlier round must not free a later slot.
+    /// The attempt was cancelled and may still run at the engine for a moment.
     bool isCancelled = false;
 };
 
-/// Asks for the tickets after a number.
+/// Requests the tickets after a number.
 struct TicketAsk
 {
     TicketNumber after;
 };
 
-/// One ticket's text, relayed from host to host.
+/// One ticket's text, relayed between hosts.
 struct TicketPush
 {
     TicketNumber number;
     std::string text;
 };
 
-/// The issuing instance's answer to a PermitAsk.
+/// The issuer's answer to a PermitAsk.
 struct PermitReply
 {
     CallNumber number;
@@ -141,21 +151,21 @@
     PermitAnswer answer;
 };
 
-/// The issuing instance has noted the OutcomeReport of this request.
+/// Acknowledges the OutcomeReport of this request.
 struct OutcomeAck
 {
     RequestId request;
 };
 
-/// Asks for one segment of a snapshot: of the sender's newest where it asks for the first, else of
-/// the snapshot that the first one named.
+/// Requests one segment of a snapshot. Segment 0 is that of the receiver's newest snapshot; later
+/// segments belong to the snapshot that `ticket` names.
 struct SnapshotAsk
 {
     TicketNumber ticket;
     std::uint32_t segment = 0;
 };
 
-/// One segment of the whole state in force at the sender.
+/// One segment of a snapshot of the configuration in force at the sender.
 struct SnapshotPart
 {
     TicketNumber ticket;
@@ -168,7 +178,7 @@
                               PermitAsk, PermitReply, OutcomeReport, OutcomeAck, SnapshotAsk,
                               SnapshotPart, ShareAsk, ShareGrant, ShareQuery, ShareStatement>;
 
-/// A message with its sender. A body of a kind that this version does not know is std::monostate.
+/// A message with its sender. A body of an unknown kind is std::monostate.
 struct PeerMessage
 {
     HostId sender;
--- a/packages/fleet/src/codec.cpp
+++ b/packages/fleet/src/codec.cpp
@@ -77,8 +77,8 @@
         beat.__set_echo(static_cast<std::int64_t>(in.echo));
         beat.__set_view(static_cast<std::int64_t>(in.view));
         beat.__set_viewEpoch(static_cast<std::int32_t>(in.viewEpoch));
-        beat.__set_nextWithin(in.nextWithin.count());
-        beat.__set_newsAge(in.newsAge.count());
+        beat.__set_nextWithin(in.nextHeartbeatTimeout.count());
+        beat.__set_newsAge(in.updateAge.count());
         this->out.__set_heartbeat(beat);
     }
     void operator()(const SlotAsk &in) const
@@ -219,9 +219,9 @@
     beat.echo = static_cast<std::uint64_t>(in.echo);
     beat.view = static_cast<std::uint64_t>(in.view);
     beat.viewEpoch = static_cast<std::uint32_t>(in.viewEpoch);
-    beat.nextWithin = Span{ in.nextWithin };
+    beat.nextHeartbeatTimeout = Span{ in.nextWithin };
     if (in.__isset.newsAge && in.newsAge >= 0)
-        beat.newsAge = Span{ in.newsAge };
+        beat.updateAge = Span{ in.newsAge };
     return beat;
 }
 
@@ -250,8 +250,8 @@
     return renewal;
 }
 
-/// The code \a number stands for; a neighbour of another version may send one that is not known
-/// here.
+/// The result code with this number. A peer of another version may send an unknown one, which is
+/// mapped to NoUpstream.
 ResultCode codeOf(std::int32_t number)
 {
     for (const ResultCodeInfo &info : resultCodeTable()) {
@@ -329,7 +329,8 @@
 
 Result<PeerMessage> decodePayload(std::string_view payload)
 {
-    // Thrift reports bad input by exceptions; they end here, off the hot path of good messages.
+    // Thrift reports malformed input by exceptions; they are converted to errors here. Well-formed
+    // messages don't throw.
     try {
         const auto buffer = std::make_shared<TMemoryBuffer>();
         buffer->write(reinterpret_cast<const std::uint8_t *>(payload.data()),
@@ -353,7 +354,7 @@
         length = (length << 8) | static_cast<unsigned char>(head[index]);
     if (length > longestFrame)
         return Error{ ResultCode::MessageInvalid,
-                      "a frame of " + std::to_string(length) + " bytes" };
+                      "frame too long: " + std::to_string(length) + " bytes" };
     return length;
 }
 
--- a/packages/fleet/src/codec_calls.cpp
+++ b/packages/fleet/src/codec_calls.cpp
@@ -18,14 +18,14 @@
     return HeldAnswer{ in.status, in.contentType, in.body };
 }
 
-/// A verdict that this version does not know must not be taken for a permit.
+/// An unknown verdict, sent by a peer of a newer version, must not be read as a permit.
 PermitVerdict verdictOf(std::int32_t number)
 {
     const bool isKnown = number >= 0 && number < static_cast<std::int32_t>(permitVerdictCount);
     return isKnown ? static_cast<PermitVerdict>(number) : PermitVerdict::Unknown;
 }
 
-/// An outcome that this version does not know must not be taken for "not run".
+/// An unknown outcome, sent by a peer of a newer version, must not be read as "not run".
 CallOutcome outcomeOf(std::int32_t number)
 {
     const bool isKnown = number >= 0 && number <= static_cast<std::int32_t>(CallOutcome::Unknown);
--- a/packages/fleet/src/codec_shares.cpp
+++ b/packages/fleet/src/codec_shares.cpp
@@ -16,7 +16,8 @@
     return static_cast<std::int64_t>(number);
 }
 
-/// An amount from a peer. A negative one is garbage and would create tokens.
+/// A token amount from a peer. Negative amounts are invalid and are read as 0, since they would
+/// create tokens.
 Tokens amountOf(std::int64_t count)
 {
     return Tokens{ std::max<std::int64_t>(0, count) };
--- a/packages/fleet/src/codec_shares.h
+++ b/packages/fleet/src/codec_shares.h
@@ -8,13 +8,13 @@
 
 namespace azurewell {
 
-/// Messages of lending on the wire.
+/// Wire encoding of the messages by which hosts lend each other tokens.
 wire::ShareAsk toWire(const ShareAsk &ask);
 wire::ShareGrant toWire(const ShareGrant &grant);
 wire::ShareQuery toWire(const ShareQuery &query);
 wire::ShareStatement toWire(const ShareStatement &statement);
 
-/// The message of lending in \a body, if it is one.
+/// The token lending message in \a body, or std::nullopt if the body is of another kind.
 std::optional<ShareBody> shareBodyOf(const wire::Body &body);
 
 } // namespace azurewell
--- a/packages/fleet/src/codec_snapshots.h
+++ b/packages/fleet/src/codec_snapshots.h
@@ -6,11 +6,11 @@
 
 namespace azurewell {
 
-// The messages that carry a snapshot from host to host.
+// Messages that transfer a snapshot between hosts.
 void writeBody(wire::Body &out, const SnapshotAsk &in);
 void writeBody(wire::Body &out, const SnapshotPart &in);
 
-/// The body if it is one of the above, else std::monostate.
+/// The body if it is one of these messages, else std::monostate.
 PeerBody readSnapshotBody(const wire::Body &in);
 
 } // namespace azurewell
--- a/packages/fleet/src/keeper_views.cpp
+++ b/packages/fleet/src/keeper_views.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-bool isSteady(const KeeperViews &views, const HostId &host, const PeerPromise &promise)
+bool isSteady(const CoordinatorViews &views, const HostId &host, const PeerPromise &promise)
 {
-    const auto before = views.lastComplete.find(host);
-    if (before == views.lastComplete.end())
-        return promise.epoch == 1; // it has had no other view in its life
+    const auto before = views.lastCompletePromises.find(host);
+    if (before == views.lastCompletePromises.end())
+        return promise.epoch == 1; // it has adopted no other view in this incarnation
     if (before->second.incarnation == promise.incarnation)
         return promise.epoch - before->second.epoch <= 1;
-    return promise.epoch == 1 && promise.isContinued;
+    return promise.epoch == 1 && promise.isContinuous;
 }
 
 } // namespace
@@ -25,36 +25,37 @@
     std::string text;
     for (const HostId &host : hosts)
         text += host.value + '\n';
-    const std::uint64_t hash = stableHash(text) >> 1; // positive in the signed integer of a message
+    // positive in the signed 64-bit field of the message
+    const std::uint64_t hash = stableHash(text) >> 1;
     return hash == 0 ? 1 : hash;
 }
 
-bool adoptView(KeeperViews &views, const std::vector<HostId> &candidate, Instant now)
+bool adoptView(CoordinatorViews &views, const std::vector<HostId> &candidate, Instant now)
 {
-    const bool isSame = views.view != 0 && views.adopted == candidate;
+    const bool isSame = views.view != 0 && views.adoptedHosts == candidate;
     if (isSame || now < views.promisedUntil)
         return false;
-    views.adopted = candidate;
+    views.adoptedHosts = candidate;
     views.view = viewNumber(candidate);
     ++views.epoch;
     return true;
 }
 
-void notePromise(KeeperViews &views, const HostId &host, Incarnation incarnation,
-                 std::uint64_t view, std::uint32_t epoch, Instant until, Instant now)
+void recordPromise(CoordinatorViews &views, const HostId &host, Incarnation incarnation,
+                   std::uint64_t view, std::uint32_t epoch, Instant until, Instant now)
 {
     PeerPromise &promise = views.promises[host];
     if (incarnation < promise.incarnation)
         return;
     if (incarnation > promise.incarnation) {
-        const bool isContinued = now <= promise.until && promise.view == views.view
+        const bool isContinuous = now <= promise.until && promise.view == views.view
                 && isSteady(views, host, promise);
         promise = PeerPromise{};
         promise.incarnation = incarnation;
-        promise.isContinued = isContinued;
+        promise.isContinuous = isContinuous;
     }
     if (view == 0 || epoch < promise.epoch)
-        return; // a late message must not shorten what a newer one said
+        return; // a delayed message must not shorten a newer promise
     if (epoch > promise.epoch || view != promise.view)
         promise.until = Instant{};
     promise.view = view;
@@ -62,7 +63,7 @@
     promise.until = std::max(promise.until, until);
 }
 
-bool isPromisedByAll(const KeeperViews &views, std::span<const HostId> required, Instant until)
+bool isPromisedByAll(const CoordinatorViews &views, std::span<const HostId> required, Instant until)
 {
     if (views.view == 0)
         return false;
@@ -76,13 +77,13 @@
     return true;
 }
 
-bool noteComplete(KeeperViews &views, std::span<const HostId> required)
+bool recordAllPromises(CoordinatorViews &views, std::span<const HostId> required)
 {
     bool areSteady = views.lastCompleteEpoch != 0 && views.epoch - views.lastCompleteEpoch <= 1;
     for (const HostId &host : required)
         areSteady = areSteady && isSteady(views, host, views.promises.at(host));
     for (const HostId &host : required)
-        views.lastComplete[host] = views.promises.at(host);
+        views.lastCompletePromises[host] = views.promises.at(host);
     views.lastCompleteEpoch = views.epoch;
     return areSteady;
 }
--- a/packages/fleet/src/membership.cpp
+++ b/packages/fleet/src/membership.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-void movePeer(Peer &peer, const Chart &chart, PeerEvent event)
+void applyPeerEvent(Peer &peer, const Chart &chart, PeerEvent event)
 {
     peer.state = advance(chart, peer.state, event);
 }
@@ -35,16 +35,16 @@
         peer.zone = host.zone;
         peer.address = host.address;
         peer.isListed = true;
-        movePeer(peer, chart, host.isLeaving ? PeerEvent::ListedLeaving : PeerEvent::Listed);
+        applyPeerEvent(peer, chart, host.isLeaving ? PeerEvent::ListedLeaving : PeerEvent::Listed);
     }
     for (auto &[id, peer] : membership.peers) {
         if (!peer.isListed)
-            movePeer(peer, chart, PeerEvent::Unlisted);
+            applyPeerEvent(peer, chart, PeerEvent::Unlisted);
     }
 }
 
-bool noteHeartbeat(Membership &membership, const Chart &chart, const HostId &sender,
-                   Incarnation incarnation, const Heartbeat &beat, Instant now)
+bool recordHeartbeat(Membership &membership, const Chart &chart, const HostId &sender,
+                     Incarnation incarnation, const Heartbeat &beat, Instant now)
 {
     Peer &peer = membership.peers[sender];
     if (incarnation < peer.incarnation)
@@ -61,36 +61,37 @@
         peer.address = beat.address;
     peer.ticket = beat.ticket;
     peer.hasAnnouncedLeave = peer.hasAnnouncedLeave || beat.isLeaving;
-    peer.lateness = std::max<Span>(suspectAfter, 4 * beat.nextWithin);
-    peer.silentAfter = now + peer.lateness;
-    peer.goneAfter = now + peer.lateness + (goneAfter - suspectAfter);
-    movePeer(peer, chart, beat.isLeaving ? PeerEvent::LeaveAnnounced : PeerEvent::Heartbeat);
+    peer.suspectTimeout = std::max<Span>(suspectAfter, 4 * beat.nextHeartbeatTimeout);
+    peer.suspectDeadline = now + peer.suspectTimeout;
+    peer.goneDeadline = now + peer.suspectTimeout + (goneAfter - suspectAfter);
+    applyPeerEvent(peer, chart, beat.isLeaving ? PeerEvent::LeaveAnnounced : PeerEvent::Heartbeat);
     return true;
 }
 
-void noteSilence(Membership &membership, const Chart &chart, Instant now)
+void updateUnreachablePeers(Membership &membership, const Chart &chart, Instant now)
 {
     for (auto &[id, peer] : membership.peers) {
         if (peer.state == PeerState::Unheard)
             continue;
-        if (now >= peer.silentAfter)
-            movePeer(peer, chart, PeerEvent::HeartbeatMissed);
-        if (now >= peer.goneAfter)
-            movePeer(peer, chart, PeerEvent::SuspicionOver);
+        if (now >= peer.suspectDeadline)
+            applyPeerEvent(peer, chart, PeerEvent::HeartbeatMissed);
+        if (now >= peer.goneDeadline)
+            applyPeerEvent(peer, chart, PeerEvent::SuspicionOver);
     }
 }
 
-void forgiveSilence(Membership &membership, Instant now)
+void extendHeartbeatDeadlines(Membership &membership, Instant now)
 {
     for (auto &[id, peer] : membership.peers) {
-        const Span lateness = std::max<Span>(peer.lateness, suspectAfter);
-        peer.silentAfter = std::max(peer.silentAfter, now + lateness);
-        peer.goneAfter = std::max(peer.goneAfter, now + lateness + (goneAfter - suspectAfter));
+        const Span suspectTimeout = std::max<Span>(peer.suspectTimeout, suspectAfter);
+        peer.suspectDeadline = std::max(peer.suspectDeadline, now + suspectTimeout);
+        peer.goneDeadline = std::max(peer.goneDeadline,
+                                     now + suspectTimeout + (goneAfter - suspectAfter));
     }
 }
 
-std::vector<HostId> usableHostsOf(const Membership &membership, const HostId &self,
-                                  bool isSelfLeaving, const ZoneId &zone)
+std::vector<HostId> usableHosts(const Membership &membership, const HostId &self,
+                                bool isSelfLeaving, const ZoneId &zone)
 {
     std::vector<HostId> hosts;
     if (!isSelfLeaving)
@@ -100,17 +101,18 @@
             hosts.push_back(id);
     }
     if (hosts.empty())
-        hosts.push_back(self); // the last host of a zone keeps its engines until it stops
+        hosts.push_back(self); // the last host of a zone coordinates its engines until it stops
     std::sort(hosts.begin(), hosts.end());
     return hosts;
 }
 
-std::vector<HostId> possibleHostsOf(const Membership &membership, const ZoneId &zone)
+std::vector<HostId> possiblyRunningHosts(const Membership &membership, const ZoneId &zone)
 {
     std::vector<HostId> hosts;
     for (const auto &[id, peer] : membership.peers) {
-        const bool isHeard = peer.state != PeerState::Unheard && peer.state != PeerState::Gone;
-        if (peer.zone == zone && !peer.hasAnnouncedLeave && (peer.isListed || isHeard))
+        const bool isPossiblyRunning = peer.state != PeerState::Unheard
+                && peer.state != PeerState::Gone;
+        if (peer.zone == zone && !peer.hasAnnouncedLeave && (peer.isListed || isPossiblyRunning))
             hosts.push_back(id);
     }
     return hosts;
@@ -122,9 +124,9 @@
     return found != membership.peers.end() && isUsableState(found->second.state);
 }
 
-std::optional<HostId> keeperOf(const Membership &membership, const HostId &self,
-                               const ZoneId &selfZone, bool isSelfLeaving, const UpstreamId &engine,
-                               const ZoneId &zone)
+std::optional<HostId> coordinatorOf(const Membership &membership, const HostId &self,
+                                    const ZoneId &selfZone, bool isSelfLeaving,
+                                    const UpstreamId &engine, const ZoneId &zone)
 {
     std::optional<HostId> best;
     std::uint64_t bestWeight = 0;
--- a/packages/fleet/tests/codec_shares_test.cpp
+++ b/packages/fleet/tests/codec_shares_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST(CodecShares, AsksAndGrantsSurviveTheWire)
+TEST(CodecShares, AsksAndGrantsRoundTrip)
 {
     const ShareAsk ask = roundTrip(ShareAsk{ CustomerId{ "c" },
                                              3,
@@ -43,7 +43,7 @@
     EXPECT_EQ(grant.borrowers, 4U);
 }
 
-TEST(CodecShares, QueriesAndStatementsSurviveTheWire)
+TEST(CodecShares, QueriesAndStatementsRoundTrip)
 {
     const SeatId seat{ ZoneId{ "z" }, SeatNumber{ 2 } };
     EXPECT_EQ(roundTrip(ShareQuery{ seat, 5 }).seat, seat);
@@ -63,9 +63,9 @@
     EXPECT_EQ(statement.held[0].amount, Tokens{ 77 });
 }
 
-// A peer of a faulty version sends negative amounts. Taken as they are they would raise a bucket's
-// level, and the customer would get tokens that nobody earned.
-TEST(CodecShares, NegativeAmountsAreZero)
+// A peer of a faulty version sends a negative amount. Used unchecked, it would raise a bucket's
+// level and give the customer tokens that nobody lent.
+TEST(CodecShares, NegativeAmountsAreReadAsZero)
 {
     const ShareGrant grant = roundTrip(
             ShareGrant{ CustomerId{ "c" }, 1, Tokens{ -5 }, Incarnation{ 1 }, Span{}, Tokens{} });
--- a/packages/fleet/tests/codec_test.cpp
+++ b/packages/fleet/tests/codec_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-PeerMessage throughTheWire(const PeerMessage &message)
+PeerMessage roundTrip(const PeerMessage &message)
 {
     const std::string frame = encodeFrame(message);
     const Result<std::uint32_t> length = frameLength(frame);
@@ -22,13 +22,13 @@
 
 } // namespace
 
-TEST(Codec, ASlotAskComesBackWhole)
+TEST(Codec, SlotAskRoundTrips)
 {
     const SlotAsk ask{ RequestId{ "r" },    UpstreamId{ "e" },
                        AdapterRef{ "a@1" }, CustomerId{ "c" },
                        Tokens{ 7 },         2.5,
                        Span{ 12 },          3 };
-    const PeerMessage back = throughTheWire(PeerMessage{ HostId{ "h" }, Incarnation{ 9 }, ask });
+    const PeerMessage back = roundTrip(PeerMessage{ HostId{ "h" }, Incarnation{ 9 }, ask });
     const SlotAsk &got = std::get<SlotAsk>(back.body);
     EXPECT_EQ(back.sender, HostId{ "h" });
     EXPECT_EQ(got.adapter, ask.adapter);
@@ -36,12 +36,12 @@
     EXPECT_EQ(got.untilDeadline, ask.untilDeadline);
 }
 
-TEST(Codec, MessagesAboutCallsComeBackWhole)
+TEST(Codec, CallMessagesRoundTrip)
 {
     const PermitReply reply{ CallNumber{ "h.1.2.0000000a" }, RequestId{ "r" },
                              PermitAnswer{ PermitVerdict::Done, Span{ 7 },
                                            HeldAnswer{ 201, "t", std::string("a\0b", 3) } } };
-    const PeerMessage replied = throughTheWire(PeerMessage{ HostId{ "h" }, {}, reply });
+    const PeerMessage replied = roundTrip(PeerMessage{ HostId{ "h" }, {}, reply });
     const PermitReply &gotReply = std::get<PermitReply>(replied.body);
     EXPECT_EQ(gotReply.number, reply.number);
     EXPECT_EQ(gotReply.answer.verdict, PermitVerdict::Done);
@@ -51,26 +51,26 @@
     const OutcomeReport report{
         reply.number, CustomerId{ "c" }, RequestId{ "r" }, CallOutcome::NotRun, {}
     };
-    const PeerMessage reported = throughTheWire(PeerMessage{ HostId{ "h" }, {}, report });
+    const PeerMessage reported = roundTrip(PeerMessage{ HostId{ "h" }, {}, report });
     EXPECT_EQ(std::get<OutcomeReport>(reported.body).outcome, CallOutcome::NotRun);
     EXPECT_EQ(std::get<OutcomeReport>(reported.body).customer, CustomerId{ "c" });
 }
 
-// A host of a newer version sends a verdict and an outcome that this one does not know. Taken for a
-// permit or for "not run" they would let a call run twice.
+// A host of a newer version sends a verdict and an outcome that this one does not know. Read as a
+// permit or as "not run", they would let a call run twice.
 TEST(Codec, AnUnknownVerdictIsNoPermit)
 {
     const PermitReply reply{ {}, {}, PermitAnswer{ static_cast<PermitVerdict>(99), {}, {} } };
-    const PeerMessage replied = throughTheWire(PeerMessage{ HostId{ "h" }, {}, reply });
+    const PeerMessage replied = roundTrip(PeerMessage{ HostId{ "h" }, {}, reply });
     EXPECT_EQ(std::get<PermitReply>(replied.body).answer.verdict, PermitVerdict::Unknown);
     const OutcomeReport report{ {}, {}, {}, static_cast<CallOutcome>(99), {} };
-    const PeerMessage reported = throughTheWire(PeerMessage{ HostId{ "h" }, {}, report });
+    const PeerMessage reported = roundTrip(PeerMessage{ HostId{ "h" }, {}, report });
     EXPECT_EQ(std::get<OutcomeReport>(reported.body).outcome, CallOutcome::Unknown);
 }
 
-// Something else than a host connects to the peer port and sends bytes at random, or a frame that
-// claims two gigabytes. The host must neither stop nor allocate them.
-TEST(Codec, GarbageIsRefused)
+// A client that is not a host connects to the peer port and sends random bytes, or a frame that
+// announces two gigabytes. The host must neither crash nor allocate them.
+TEST(Codec, RandomBytesAreRejected)
 {
     std::mt19937 random(7);
     std::uniform_int_distribution<int> byte(0, 255);
--- a/packages/fleet/tests/keeper_views_test.cpp
+++ b/packages/fleet/tests/keeper_views_test.cpp
@@ -16,27 +16,27 @@
 struct Fixture
 {
     Instant now{ 1'000'000 };
-    KeeperViews views;
+    CoordinatorViews views;
 
     void promise(const HostId &host, const std::vector<HostId> &view, std::uint32_t epoch,
                  Incarnation of = life)
     {
-        notePromise(this->views, host, of, viewNumber(view), epoch, this->now + promiseLength,
-                    this->now);
+        recordPromise(this->views, host, of, viewNumber(view), epoch, this->now + promiseDuration,
+                      this->now);
     }
 };
 
 } // namespace
 
-// Two hosts disagree about the host list for half a minute, and a third one knows both. Each takes
-// itself for the keeper of the same engine; if both evicted, one would unload what the other
-// serves.
-TEST(KeeperViews, OfTwoViewsThatShareAHostOnlyOneIsPromised)
+// Two hosts disagree about the host list, and a third host is in both views. Both hosts take
+// themselves for the coordinator of the same engine; if both evicted, one would unload adapters
+// that the other one's requests use.
+TEST(CoordinatorViews, OfTwoViewsThatShareAHostOnlyOneIsPromised)
 {
     Fixture shared;
     ASSERT_TRUE(adoptView(shared.views, { h0, h2 }, shared.now));
-    shared.views.promisedUntil = shared.now + promiseLength; // promised to h0
-    EXPECT_FALSE(adoptView(shared.views, { h1, h2 }, shared.now + promiseLength - Span{ 1 }));
+    shared.views.promisedUntil = shared.now + promiseDuration; // promised to h0
+    EXPECT_FALSE(adoptView(shared.views, { h1, h2 }, shared.now + promiseDuration - Span{ 1 }));
 
     Fixture other;
     adoptView(other.views, { h1, h2 }, other.now);
@@ -45,9 +45,10 @@
     EXPECT_FALSE(isPromisedByAll(other.views, required, other.now));
 }
 
-// A host is stopped for longer than the others' promises to it. When it goes on it believes that it
-// is still the keeper, and its order would reach an engine that another host keeps by now.
-TEST(KeeperViews, APromiseRunsOutBySilence)
+// A process is suspended for longer than the promises that it received. When it resumes it still
+// believes that it is the coordinator, and its eviction order would reach an engine that another
+// host coordinates by then.
+TEST(CoordinatorViews, APromiseExpiresWithoutHeartbeats)
 {
     Fixture fixture;
     adoptView(fixture.views, { h0, h1 }, fixture.now);
@@ -57,25 +58,27 @@
     EXPECT_FALSE(isPromisedByAll(fixture.views, required, fixture.now + fromSeconds(10)));
 }
 
-// A host had a view of its own between two common ones, and granted slots by it. A keeper that did
-// not notice would evict under them at once.
-TEST(KeeperViews, AHostThatSkippedAViewRestartsTheWait)
+// A host adopted another view between two common ones and granted slots by it. A coordinator
+// that did not notice would evict adapters that those slots use.
+TEST(CoordinatorViews, AnInterveningViewRestartsTheWait)
 {
     Fixture fixture;
     const std::array<HostId, 1> required{ h1 };
     adoptView(fixture.views, { h0, h1 }, fixture.now);
     fixture.promise(h1, { h0, h1 }, 1);
-    EXPECT_FALSE(noteComplete(fixture.views, required)); // the first: a former keeper is not known
+    // first time: former coordinators are unknown
+    EXPECT_FALSE(recordAllPromises(fixture.views, required));
     adoptView(fixture.views, { h0, h1, h2 }, fixture.now);
     fixture.promise(h1, { h0, h1, h2 }, 2);
-    EXPECT_TRUE(noteComplete(fixture.views, required));
+    EXPECT_TRUE(recordAllPromises(fixture.views, required));
     adoptView(fixture.views, { h0, h1 }, fixture.now);
     fixture.promise(h1, { h0, h1 }, 4);
-    EXPECT_FALSE(noteComplete(fixture.views, required));
+    EXPECT_FALSE(recordAllPromises(fixture.views, required));
 }
 
-// A message of a host's former life arrives after the host was replaced.
-TEST(KeeperViews, AFormerLifePromisesNothing)
+// A message of a host's previous incarnation arrives after the host was replaced. Its promise must
+// be ignored.
+TEST(CoordinatorViews, AnOlderIncarnationPromisesNothing)
 {
     Fixture fixture;
     adoptView(fixture.views, { h0, h1 }, fixture.now);
--- a/packages/fleet/tests/membership_test.cpp
+++ b/packages/fleet/tests/membership_test.cpp
@@ -20,14 +20,14 @@
         Heartbeat beat;
         beat.zone = zone;
         beat.isLeaving = isLeaving;
-        return noteHeartbeat(this->membership, this->charts.peer, other, Incarnation{ incarnation },
-                             beat, now);
+        return recordHeartbeat(this->membership, this->charts.peer, other,
+                               Incarnation{ incarnation }, beat, now);
     }
 };
 
 } // namespace
 
-TEST(Membership, APeerIsUsableOnlyWhileItIsHeard)
+TEST(Membership, APeerIsUsableOnlyWhileReachable)
 {
     Fixture fixture;
     applyHostList(fixture.membership, fixture.charts.peer, self,
@@ -35,15 +35,15 @@
     EXPECT_FALSE(isUsable(fixture.membership, other));
     EXPECT_TRUE(fixture.beat(1, Instant{ 0 }));
     EXPECT_TRUE(isUsable(fixture.membership, other));
-    noteSilence(fixture.membership, fixture.charts.peer, Instant{ 0 } + suspectAfter);
+    updateUnreachablePeers(fixture.membership, fixture.charts.peer, Instant{ 0 } + suspectAfter);
     EXPECT_FALSE(isUsable(fixture.membership, other));
     EXPECT_TRUE(fixture.beat(1, Instant{ 0 } + fromSeconds(3)));
     EXPECT_TRUE(isUsable(fixture.membership, other));
 }
 
-// A host was replaced while its process was stopped, and the process is continued later. It still
-// believes in its old leases; whatever it sends has to be dropped.
-TEST(Membership, AnOlderIncarnationIsNotHeard)
+// A host was replaced while its process was suspended, and the process resumes later. It still
+// relies on its old leases, so its messages must be dropped.
+TEST(Membership, AnOlderIncarnationIsIgnored)
 {
     Fixture fixture;
     EXPECT_TRUE(fixture.beat(2, Instant{ 0 }));
@@ -51,19 +51,19 @@
     EXPECT_EQ(fixture.membership.peers[other].incarnation, Incarnation{ 2 });
 }
 
-TEST(Membership, ALeavingHostKeepsNoEngine)
+TEST(Membership, ALeavingHostCoordinatesNoEngine)
 {
     Fixture fixture;
     fixture.beat(1, Instant{ 0 });
     int keptByOther = 0;
     for (int engine = 0; engine < 100; ++engine)
-        keptByOther += keeperOf(fixture.membership, self, zone, false,
-                                UpstreamId{ std::to_string(engine) }, zone)
+        keptByOther += coordinatorOf(fixture.membership, self, zone, false,
+                                     UpstreamId{ std::to_string(engine) }, zone)
                 == other;
     EXPECT_NEAR(keptByOther, 50, 20);
     fixture.beat(1, Instant{ 1 }, true);
     for (int engine = 0; engine < 100; ++engine)
-        EXPECT_EQ(keeperOf(fixture.membership, self, zone, false,
-                           UpstreamId{ std::to_string(engine) }, zone),
+        EXPECT_EQ(coordinatorOf(fixture.membership, self, zone, false,
+                                UpstreamId{ std::to_string(engine) }, zone),
                   self);
 }
--- a/packages/host/include/azurewell/host/actions.h
+++ b/packages/host/include/azurewell/host/actions.h
@@ -9,7 +9,7 @@
 
 namespace azurewell {
 
-/// Answer a caller with a refusal.
+/// Refuse a caller's request.
 struct Refuse
 {
     RequestId request;
@@ -19,33 +19,35 @@
     std::string detail;
 };
 
-/// Answer a caller's repeat of a call that has run with the answer that the call got.
+/// Answer a caller's repeat of a call that has run with the stored answer of the first run.
 struct AnswerHeld
 {
     RequestId request;
     HeldAnswer answer;
 };
 
-/// Answer a caller with numbers for its next calls.
+/// Answer a caller with call numbers for its next calls.
 struct AnswerNumbers
 {
     RequestId request;
     std::vector<CallNumber> numbers;
 };
 
-/// Send a request to an upstream and pass its answer on.
+/// Send a request to an upstream and forward its answer to the caller.
 struct Dispatch
 {
     RequestId request;
     std::uint32_t attempt = 0;
     UpstreamId upstream;
     std::string address;
-    Tokens resumeFrom;       ///< Tokens the caller has already; the upstream goes on after them.
-    bool mayRunTwice = true; ///< False: not one byte may be sent a second time.
-    Instant notAfter;        ///< The slot's lease: past this it must not be sent any more.
+    Tokens resumeFrom; ///< Tokens that the caller already has; the upstream continues after them.
+    bool mayRunTwice = true; ///< False if no byte may be sent a second time.
+    /// End of the slot's lease, the permit or the deadline; the request must not be sent from then
+    /// on.
+    Instant notAfter;
 };
 
-/// Stop an attempt: close its connection and tell the upstream to cancel it.
+/// Cancel an attempt: close its connection and request cancellation at the upstream.
 struct CancelAttempt
 {
     RequestId request;
@@ -68,18 +70,19 @@
     bool isLoad = true;
     AdapterRef adapter;
     FencingNumber fencing;
-    Instant notAfter; ///< Carried out until then, or given up and its connection closed.
+    /// If the order is not carried out by then, it is abandoned and its connection closed.
+    Instant notAfter;
 };
 
-/// Ask an engine for its load.
+/// Request a load report from an engine.
 struct AskLoad
 {
     UpstreamId engine;
     std::string address;
-    Instant askedAt; ///< Comes back in the report.
+    Instant askedAt; ///< Returned in the report.
 };
 
-/// A ticket was put in force or refused; for the log.
+/// Log that a ticket was put in force or refused.
 struct TicketNoted
 {
     TicketNumber number;
@@ -87,7 +90,7 @@
     std::string detail;
 };
 
-/// The planned stop is complete: leave the process.
+/// The planned stop is complete: exit the process.
 struct LeaveProcess
 {
 };
--- a/packages/host/include/azurewell/host/call_state.h
+++ b/packages/host/include/azurewell/host/call_state.h
@@ -8,42 +8,44 @@
 
 namespace azurewell {
 
-/// A permit that this host asks for, or holds, for one of its requests.
-struct PermitSought
+/// A permit that this host has requested, or holds, for one of its requests.
+struct PendingPermit
 {
     HostId issuer;
     PermitAsk ask;
-    Instant firstAskedAt; ///< A permit is counted from here, however late its grant arrives.
-    Instant nextAskAt;
-    Instant giveUpAt;
-    Instant sendBefore; ///< Once granted: nothing is sent from then on.
+    /// The permit's duration is counted from here, however late its grant arrives.
+    Instant firstSentAt;
+    Instant nextSendAt;
+    Instant replyDeadline;
+    Instant sendBefore; ///< Set when granted: the call must not be sent from then on.
     bool isGranted = false;
 };
 
-/// What became of a request that had asked for a permit; sent to the issuer until it is
-/// acknowledged, and kept a while for grants that arrive late.
+/// The outcome of a request that had requested a permit. Sent to the issuer until it is
+/// acknowledged, and kept for `outcomeReportTimeout` to answer grants that arrive late.
 struct SettledCall
 {
     HostId issuer;
     OutcomeReport report;
     Instant nextSendAt;
-    Instant keptUntil;
+    Instant retainedUntil;
     bool isAcknowledged = false;
 };
 
-/// All that a host holds for calls that must not be repeated.
+/// State for calls that must not be repeated.
 struct CallState
 {
-    CallLedger ledger; ///< Of the numbers that this instance issued.
-    std::map<RequestId, PermitSought> sought;
+    CallLedger ledger; ///< Records of the call numbers that this incarnation issued.
+    std::map<RequestId, PendingPermit> pendingPermits;
     std::map<RequestId, SettledCall> settled;
-    std::deque<RequestId> settledOrder; ///< Oldest first.
-    Instant nextTend;
-    std::array<std::uint64_t, permitVerdictCount> verdicts{}; ///< Received, by kind.
+    std::deque<RequestId> settledOrder; ///< Keys of `settled`, oldest first.
+    Instant nextUpdate;
+    /// Permit replies received, by verdict.
+    std::array<std::uint64_t, permitVerdictCount> receivedVerdicts{};
     std::uint64_t numbersIssued = 0;
-    std::uint64_t unreachable = 0; ///< Issuers that did not answer in time.
-    bool isSendingLate = false;    ///< Deliberate fault: the permit's end is not looked at.
-    bool isClaimingNotRun = false; ///< Deliberate fault: refusals say "not run" without knowing.
+    std::uint64_t unreachable = 0;    ///< Permit requests that the issuer did not answer in time.
+    bool isIgnoringPermitEnd = false; ///< Fault injection: ignores the end of permits.
+    bool isAssumingNotRun = false; ///< Fault injection: refusals report "not run" without checking.
 };
 
 } // namespace azurewell
--- a/packages/host/include/azurewell/host/counters.h
+++ b/packages/host/include/azurewell/host/counters.h
@@ -9,7 +9,7 @@
 
 namespace azurewell {
 
-/// Why a request was tried again.
+/// Why a request was retried.
 enum class RetryReason : std::uint8_t {
     NotSent,
     UpstreamRefused,
@@ -23,7 +23,7 @@
     "upstream_silent", "answer_mismatch",  "slot_lost"
 };
 
-/// What a host counts; /metrics publishes it.
+/// Counters of a host, published at /metrics.
 struct Counters
 {
     std::uint64_t arrived = 0;
@@ -31,16 +31,17 @@
     std::uint64_t dispatched = 0;
     std::uint64_t resumed = 0;
     std::uint64_t answerMismatches = 0; ///< Answers that belonged to another request.
-    std::uint64_t staleMessages = 0;    ///< From an older incarnation of a peer.
-    std::uint64_t unknownMessages = 0;  ///< Of a kind this version does not know.
+    std::uint64_t staleMessages = 0;    ///< Messages from an older incarnation of a peer.
+    std::uint64_t unknownMessages = 0;  ///< Messages of a kind that this version does not know.
     std::uint64_t ticketsRefused = 0;
     std::uint64_t loadsOrdered = 0;
     std::uint64_t loadsFailed = 0;
     std::uint64_t evictionsOrdered = 0;
     std::uint64_t generatedTokens = 0;
-    std::uint64_t lateWakes = 0;     ///< The process was stopped for a second or more.
-    std::uint64_t ordersRefused = 0; ///< By an engine, for an old fencing number.
-    std::uint64_t leasesExpired = 0; ///< Slots whose host did not renew them in time.
+    std::uint64_t lateWakes = 0; ///< Times that the process was suspended for a second or more.
+    /// Orders that an engine rejected for an outdated fencing number.
+    std::uint64_t ordersRefused = 0;
+    std::uint64_t leasesExpired = 0; ///< Slots that were not renewed in time.
     std::map<ResultCode, std::uint64_t> refusals;
     std::array<std::uint64_t, retryReasonNames.size()> retries{};
 };
--- a/packages/host/include/azurewell/host/events.h
+++ b/packages/host/include/azurewell/host/events.h
@@ -12,48 +12,48 @@
 enum class RequestKind : std::uint8_t {
     Completion,
     ServiceCall,
-    CallNumbers, ///< Asks for numbers for calls that must not be repeated.
+    CallNumbers, ///< Requests numbers for calls that must not be repeated.
 };
 
-/// A caller's request, head and body read; the shell keeps the body.
+/// A caller's request whose head and body have been read; the shell keeps the body.
 struct RequestArrived
 {
     RequestId request;
     RequestKind kind = RequestKind::Completion;
     KeyHash key;
-    AdapterRef adapter;        ///< Completions.
-    ServiceId service;         ///< Service calls.
-    bool isSafeMethod = false; ///< GET or HEAD: may be sent twice whatever the service is.
-    CallNumber callNumber;     ///< Service calls; empty where the caller gave none.
-    std::uint32_t numbers = 0; ///< How many call numbers are asked for.
+    AdapterRef adapter;        ///< Set for completions.
+    ServiceId service;         ///< Set for service calls.
+    bool isSafeMethod = false; ///< GET or HEAD: may be sent twice for any service.
+    CallNumber callNumber;     ///< For service calls; empty if the caller gave none.
+    std::uint32_t numbers = 0; ///< Number of call numbers requested.
     Tokens promptTokens;
     Tokens mostGenerated;
     Instant deadline;
 };
 
-/// The caller closed its connection before the answer was whole.
+/// The caller closed its connection before the answer was complete.
 struct CallerLeft
 {
     RequestId request;
 };
 
-/// How far a stream has come.
+/// Progress of a stream.
 struct AttemptProgress
 {
     RequestId request;
     std::uint32_t attempt = 0;
-    Tokens generated; ///< Tokens passed on to the caller so far, all attempts together.
+    Tokens generated; ///< Tokens forwarded to the caller so far by all attempts together.
 };
 
 /// How an attempt at an upstream ended.
 enum class AttemptOutcome : std::uint8_t {
-    Done,         ///< The whole answer was passed on.
+    Done,         ///< The complete answer was forwarded.
     NotSent,      ///< No byte of the request can have reached the upstream.
-    Refused,      ///< The upstream answered that it did not take the request (503 or 429).
-    Failed,       ///< The connection ended, or the answer was not whole.
-    Silent,       ///< Nothing came within the idle deadline.
-    Mismatch,     ///< The answer belonged to another request and was dropped.
-    NotResumable, ///< The upstream would begin a stream again that the caller has a part of.
+    Refused,      ///< The upstream rejected the request without running it (503 or 429).
+    Failed,       ///< The connection was closed, or the answer was incomplete.
+    Silent,       ///< No data arrived within the idle timeout.
+    Mismatch,     ///< The answer belonged to another request and was discarded.
+    NotResumable, ///< The upstream would restart a stream of which the caller already has a part.
     Cancelled,    ///< Ended by CancelAttempt.
 };
 
@@ -62,9 +62,9 @@
     RequestId request;
     std::uint32_t attempt = 0;
     AttemptOutcome outcome = AttemptOutcome::Done;
-    Tokens generated;            ///< Passed on to the caller, all attempts together.
-    bool hasAnswerBegun = false; ///< The caller has seen the head of an answer.
-    HeldAnswer answer{};         ///< Of a numbered call, where it is short enough to be held.
+    Tokens generated;            ///< Tokens forwarded to the caller by all attempts together.
+    bool hasAnswerBegun = false; ///< Whether the head of an answer was forwarded to the caller.
+    HeldAnswer answer{}; ///< Answer of a call with a number, if it is short enough to be stored.
 };
 
 struct PeerMessageReceived
@@ -85,14 +85,14 @@
     bool isLeaving = false;
 };
 
-/// The platform's list of live and leaving hosts, late by seconds.
+/// The platform's list of live and leaving hosts and upstreams; it lags by seconds.
 struct HostListRead
 {
     std::vector<ListedHost> hosts;
     std::vector<ListedUpstream> upstreams;
 };
 
-/// What an engine says of its load; the keeper asks for it.
+/// An engine's load report, requested by its coordinator.
 struct LoadReported
 {
     UpstreamId engine;
@@ -101,18 +101,18 @@
     std::uint32_t queued = 0;
     std::vector<AdapterRef> loaded;
     std::uint64_t engineStart = 0; ///< Changes when the engine restarts.
-    Instant askedAt;               ///< Of the AskLoad that it answers.
+    Instant askedAt;               ///< When the answered AskLoad was issued.
 };
 
-/// A load or unload order was carried out or refused.
+/// An order to load or unload an adapter was carried out or failed.
 struct OrderEnded
 {
     UpstreamId engine;
     AdapterRef adapter;
     bool isLoad = true;
     bool isDone = false;
-    FencingNumber fencing; ///< Of the order.
-    /// The engine refused with its own highest fencing number; 0 where it did not.
+    FencingNumber fencing; ///< Fencing number of the order.
+    /// The engine's own highest fencing number if it rejected the order for a lower one, else 0.
     FencingNumber refusedBy;
 };
 
@@ -122,20 +122,21 @@
     std::string text;
 };
 
-/// The configuration service answered, be it that nothing has changed.
+/// The configuration service responded, even if nothing has changed.
 struct PlatformHeard
 {
 };
 
-/// Time passed. The shell sends it every tickInterval.
+/// Sent by the shell every tickInterval.
 struct Tick
 {
 };
 
-/// The operator (or the platform) asks for a planned stop.
+/// The operator or the platform requests a planned stop.
 struct StopAsked
 {
-    Span grace{}; ///< How long requests that still arrive are served: balancers notice late.
+    /// How long new requests are still served, since load balancers notice the stop late.
+    Span grace{};
 };
 
 using Event = std::variant<RequestArrived, CallerLeft, AttemptProgress, AttemptEnded,
--- a/packages/host/include/azurewell/host/heartbeat_state.h
+++ b/packages/host/include/azurewell/host/heartbeat_state.h
@@ -9,34 +9,37 @@
 
 namespace azurewell {
 
-/// What this host's heartbeats have told one other host, and when the next is due.
-struct PeerBeats
+/// State of the heartbeats from this host to one other host.
+struct PeerHeartbeats
 {
-    Incarnation life; ///< Of the other host; a new life has heard nothing.
-    Instant nextBeat; ///< Hosts of other zones only; those of the own zone get every one.
-    Instant nextSummaries;
-    Instant nextFull; ///< When all lists are said again: one that was lost must not be missed long.
-    Instant summariesAt; ///< Of the newest summaries.
+    Incarnation incarnation; ///< Incarnation of the other host. A new one has received nothing.
+    /// Used only for hosts of other zones; those of the own zone get every heartbeat.
+    Instant nextHeartbeatAt;
+    Instant nextSummariesAt;
+    /// When complete lists are next sent, in case a message with a changed list was lost.
+    Instant nextFullListsAt;
+    Instant summariesSentAt; ///< When summaries were last sent.
 };
 
-/// The adapters that an engine of this host has loaded, and since when.
-struct LoadedList
+/// The adapters that an engine coordinated by this host has loaded, and when that list last
+/// changed.
+struct LoadedAdapters
 {
     std::vector<AdapterRef> loaded;
     Instant changedAt;
 };
 
-/// What this host's heartbeats have said, and to whom the next is due.
+/// State of the heartbeats that this host sends.
 ///
-/// Every host beats to every other one. With whole engine summaries at each half second a node sent
-/// 276 KB/s at 390 hosts, against 25 KB/s that the users allow. So the parts that are large or that
-/// only matter far away are sent less often as the fleet grows; a fleet of today's size sees no
-/// difference.
+/// Every host sends heartbeats to every other one. With complete engine summaries every 0.5 s a
+/// node sent 276 KB/s at 390 hosts; the limit is 25 KB/s. Therefore the parts that are large or
+/// matter less to distant hosts are sent less often as the fleet grows. At the present fleet size
+/// the interval is unchanged.
 struct HeartbeatState
 {
-    std::unordered_map<HostId, PeerBeats> peers;
-    std::map<UpstreamId, LoadedList> lists;
-    Instant nextRenewal; ///< Of slots that requests here wait for or run on.
+    std::unordered_map<HostId, PeerHeartbeats> peers;
+    std::map<UpstreamId, LoadedAdapters> loadedAdapters;
+    Instant nextRenewal; ///< When the slots of this host's requests are next renewed.
 };
 
 } // namespace azurewell
--- a/packages/host/include/azurewell/host/host_state.h
+++ b/packages/host/include/azurewell/host/host_state.h
@@ -25,67 +25,79 @@
 
 namespace azurewell {
 
-/// Who this host is; from the settings file.
+/// Identity of this host, from the settings file.
 struct HostIdentity
 {
     HostId id;
     ZoneId zone;
-    SeatNumber seat; ///< The place in the zone that this host fills; its part of every rate.
+    SeatNumber seat; ///< Host ordinal in the zone; determines this host's share of every rate.
     std::string peerAddress;
-    Incarnation incarnation; ///< Must be above that of any earlier life of the same host.
+    Incarnation incarnation; ///< Must be above every earlier incarnation of the same host.
     std::uint64_t randomSeed = 0;
-    /// Whether a host that was paused and reaches no other goes on with its part of every rate, at
-    /// the risk that a successor uses the same part.
+    /// Whether a host that was suspended and reaches no other host continues to use its share of
+    /// every rate, at the risk that a successor uses the same share.
     bool resumesUnconfirmed = false;
 };
 
 enum class RequestPhase : std::uint8_t { WaitingForTokens, WaitingForSlot, Running };
 
-/// A caller's request on its way through this host.
+/// A caller's request while this host processes it.
 struct RequestRecord
 {
-    RequestArrived asked;
+    RequestArrived arrival;
     CustomerId customer;
     RequestPhase phase = RequestPhase::WaitingForTokens;
-    Instant tokensBy;        ///< Refused if the customer's rate has not admitted it by then.
-    Tokens generated;        ///< Passed on to the caller.
-    UpstreamId upstream;     ///< Where it waits or runs.
-    HostId keeper;           ///< Who was asked for the slot.
-    Instant leaseEnds;       ///< The slot is ours until then.
-    std::uint32_t round = 0; ///< Times that a slot was sought; grants of earlier rounds are void.
-    std::uint64_t renewalSerial = 0; ///< Of the newest renewal that listed it.
-    std::uint32_t asks = 0;          ///< Sent in this round.
-    Instant askAgainAt;              ///< An ask or a grant may be lost, and a keeper may be gone.
-    bool isCancelled = false; ///< Its slot was lost while it ran; the attempt's end is awaited.
+    /// The request is refused if the customer's rate has not admitted it by then.
+    Instant tokenDeadline;
+    Tokens generated;    ///< Tokens forwarded to the caller.
+    UpstreamId upstream; ///< Upstream at which the request waits or runs.
+    HostId coordinator;  ///< Coordinator from which the slot was requested.
+    Instant leaseEnds;   ///< End of the slot's lease.
+    /// Number of attempts to obtain a slot; grants of earlier rounds are ignored.
+    std::uint32_t round = 0;
+    std::uint64_t renewalSerial = 0; ///< Serial of the newest renewal that listed the request.
+    std::uint32_t requestsSent = 0;  ///< Slot requests sent in this round.
+    /// When the slot request is sent again: a message may be lost or the coordinator may be gone.
+    Instant nextRequestAt;
+    /// The slot was lost while the request ran; the end of the attempt is awaited.
+    bool isCancelled = false;
     std::uint32_t attempt = 0;
-    std::vector<UpstreamId> failedAt; ///< Not tried again for this request.
-    std::uint32_t refusedAsks = 0;    ///< Keepers that could not serve it in time.
-    bool isRouted = false;            ///< Counted as under way to `upstream` in the table.
+    /// Upstreams that are not tried again for this request.
+    std::vector<UpstreamId> excludedUpstreams;
+    /// Number of coordinators that could not serve the request in time.
+    std::uint32_t slotRefusals = 0;
+    bool isRouted = false; ///< Whether the routing table counts the request as sent to `upstream`.
     Instant dispatchedAt;
-    Tokens resumedFrom;      ///< Generated before the present attempt.
-    bool isPaceSeen = false; ///< The present attempt's speed was counted.
+    Tokens resumedFrom;                ///< Tokens generated before the current attempt.
+    bool isStreamRateRecorded = false; ///< Whether the current attempt's token rate was recorded.
     bool isIdempotent = true;
-    bool isCallerGone = false; ///< A numbered call that goes on for its outcome.
-    bool mayHaveRun = false;   ///< An attempt ended that can have run: "not run" would be untrue.
+    /// The caller disconnected from a call with a number, which continues so that its outcome is
+    /// recorded.
+    bool hasCallerDisconnected = false;
+    /// An earlier attempt may have run, so "not run" must not be reported.
+    bool mayHaveRun = false;
 };
 
-/// A slot that this host, as keeper, has granted.
+/// A slot that this host granted as the engine's coordinator.
 struct GrantedSlot
 {
-    HostId asker;
+    HostId requester;
     CustomerId customer;
     AdapterRef adapter;
     Tokens charged;
     double weight = 1.0;
     Instant leaseEnds;
-    Instant since; ///< When it was granted; unset for one that a former keeper granted.
+    Instant since; ///< When the slot was granted; 0 for a slot that a previous coordinator granted.
     std::uint32_t round = 0;
-    Instant unpinAt;    ///< After the lease: the engine is told to cancel until then.
-    Instant nextCancel; ///< While the lease runs: never.
+    /// Set when the lease has ended: cancellation is requested from the engine until then, and the
+    /// adapter stays pinned.
+    Instant unpinAt;
+    /// When cancellation is next requested from the engine; `never` while the lease is valid.
+    Instant nextCancelAt;
 };
 
-/// An engine that this host keeps.
-struct KeptEngine
+/// An engine that this host coordinates.
+struct CoordinatedEngine
 {
     FairQueue queue;
     EngineAdapters adapters;
@@ -93,23 +105,29 @@
     std::map<RequestId, GrantedSlot> granted;
     Instant nextLoadReport;
     std::uint64_t engineStart = 0;
-    /// Of each asker; basis of its leases.
+    /// Newest serial received from each requester; basis of its leases.
     std::map<HostId, std::pair<Incarnation, std::uint64_t>> newestSerial;
-    std::unordered_map<RequestId, std::uint32_t> rounds; ///< Of the requests in the queue.
-
-    Instant madeAt;
-    Instant evictFrom = never; ///< Every lease that a former keeper can have given is over then.
-    bool isQuiet = false; ///< Since evictFrom the engine was seen to run no more than is granted.
-    Instant newestReportAsked; ///< When the newest report that was used had been asked for.
-    /// Orders under way; one that ends without being here was ended by a restart of the engine.
+    std::unordered_map<RequestId, std::uint32_t> rounds; ///< Rounds of the requests in the queue.
+
+    Instant createdAt;
+    /// When every lease that a previous coordinator can have granted has expired; `never` while not
+    /// known.
+    Instant evictionAllowedFrom = never;
+    /// Whether a report requested after evictionAllowedFrom showed no more running requests than
+    /// slots granted here.
+    bool hasNoUnknownRequests = false;
+    Instant newestReportRequestedAt; ///< When the newest processed load report was requested.
+    /// Orders in progress. An order that ends without an entry here was made obsolete by a restart
+    /// of the engine.
     std::unordered_map<AdapterRef, FencingNumber> orders;
-    /// When orders ended. A report that was asked for earlier says nothing of that adapter.
+    /// When the newest order for each adapter ended. A load report that was requested earlier is
+    /// outdated for that adapter.
     std::unordered_map<AdapterRef, Instant> orderEndedAt;
-    /// Unloads that were given up: until then the order can still arrive and be carried out.
-    std::unordered_map<AdapterRef, Instant> doubtfulUntil;
+    /// Abandoned unloads: until then the order can still reach the engine and be carried out.
+    std::unordered_map<AdapterRef, Instant> abandonedUnloads;
 };
 
-/// Whether an upstream answers; UpstreamTable has what the choice among them needs.
+/// Health of an upstream; UpstreamTable has the data for choosing among upstreams.
 struct KnownUpstream
 {
     UpstreamState state = UpstreamState::Unknown;
@@ -117,7 +135,8 @@
     std::uint32_t failuresInARow = 0;
 };
 
-/// Everything that one host knows. Lost when the process ends, and safe when lost.
+/// The complete state of one host. It is lost when the process ends; no guarantee depends on its
+/// being kept.
 struct HostState
 {
     HostIdentity self;
@@ -125,29 +144,30 @@
     std::mt19937_64 random;
 
     ProcessState process = ProcessState::Starting;
-    Instant servesUntil; ///< While draining: requests that arrive later are refused.
+    Instant servesUntil; ///< While draining: requests that arrive after this time are refused.
     StateInForce inForce;
     TicketState tickets;
     Membership membership;
     Instant nextHeartbeat;
     HeartbeatState heartbeats;
-    FencingNumber fencing; ///< The highest that was used or seen.
-    KeeperState keepers;
+    FencingNumber fencing; ///< Highest fencing number used or received.
+    CoordinationState coordination;
 
     std::unordered_map<RequestId, RequestRecord> requests;
-    ShareHolder shares;                     ///< Of every customer's rate and burst.
+    ShareHolder shares; ///< This host's shares of every customer's rate and burst.
     std::deque<RequestId> waitingForTokens; ///< Oldest first.
     std::unordered_map<UpstreamId, KnownUpstream> upstreams;
     UpstreamTable routing;
     LoadPacer loadPacer;
-    std::map<UpstreamId, KeptEngine> kept;
+    std::map<UpstreamId, CoordinatedEngine> kept;
     RetryBudget retryBudget;
 
     CallState calls;
 
     std::uint64_t nextSerial = 1;
-    std::map<std::uint64_t, Instant> serialSentAt; ///< When each ask or renewal was sent.
-    std::deque<PeerMessage> loopback;              ///< Messages of this host to itself.
+    /// When each heartbeat, slot request or renewal of the last 60 s was sent, by serial.
+    std::map<std::uint64_t, Instant> serialSentAt;
+    std::deque<PeerMessage> loopback; ///< Messages from this host to itself.
 
     Counters counters;
 };
--- a/packages/host/include/azurewell/host/keeper_state.h
+++ b/packages/host/include/azurewell/host/keeper_state.h
@@ -12,29 +12,37 @@
 
 namespace azurewell {
 
-/// What a host knows of who keeps which engine.
-struct KeeperState
+/// What a host knows about which host coordinates which engine.
+struct CoordinationState
 {
-    KeeperViews views;
-    std::vector<HostId> candidate; ///< The zone's usable hosts by the present membership.
-    bool isComplete = false;       ///< All possible hosts of the zone promise the adopted view.
-    std::set<HostId> seen; ///< Hosts that were possible at any time since the last completeness.
-
-    Instant startedAt;   ///< Of this life; the first event.
-    Instant handledAt;   ///< The newest event; a gap shows that the process was stopped.
-    Instant listenUntil; ///< After a stop: grants and promises nothing until it has listened.
-    Instant joinAfter;   ///< When the first view may be adopted; never while not known.
-    bool isListRead = false;
-
-    std::map<HostId, std::pair<Incarnation, std::uint64_t>> newestSerials; ///< Of heartbeats.
-    std::set<HostId> knownBy; ///< Peers that have echoed a heartbeat of this life.
-
-    /// Keeper of each engine by the present membership; emptied when that changes.
-    std::unordered_map<UpstreamId, std::optional<HostId>> keepers;
-    std::uint64_t usableNumber = 0; ///< Of all usable hosts; shows that it has changed.
-    Instant nextUpkeep;
-    /// What the set of kept engines was last derived from: ticket, epoch, candidate.
-    std::tuple<std::uint64_t, std::uint32_t, std::uint64_t, bool> keptFrom;
+    CoordinatorViews views;
+    /// The zone's usable hosts according to the current membership.
+    std::vector<HostId> candidateHosts;
+    /// Whether all hosts of the zone that may still run promise the adopted view.
+    bool hasAllPromises = false;
+    /// Hosts that may have been running at any time since all promises were last complete.
+    std::set<HostId> hostsSinceComplete;
+
+    Instant startedAt; ///< When this process handled its first event.
+    /// When the last event was handled; a gap shows that the process was suspended.
+    Instant lastEventAt;
+    /// After a suspension, no slots are granted and no views promised until then.
+    Instant listenUntil;
+    Instant joinAllowedAt; ///< When the first view may be adopted; `never` while not known.
+    bool hasHostList = false;
+
+    /// Newest heartbeat serial of each host.
+    std::map<HostId, std::pair<Incarnation, std::uint64_t>> newestSerials;
+    /// Peers that have acknowledged a heartbeat of this incarnation.
+    std::set<HostId> acknowledgedBy;
+
+    /// Coordinator of each engine according to the current membership; cleared when that changes.
+    std::unordered_map<UpstreamId, std::optional<HostId>> coordinators;
+    std::uint64_t usableHostsHash = 0; ///< Hash of all usable hosts, to detect a change.
+    Instant nextMembershipUpdate;
+    /// Inputs from which the set of coordinated engines was last derived: ticket, view epoch,
+    /// candidate view, and whether the host is serving.
+    std::tuple<std::uint64_t, std::uint32_t, std::uint64_t, bool> engineSetInputs;
 };
 
 } // namespace azurewell
--- a/packages/host/include/azurewell/host/ticket_state.h
+++ b/packages/host/include/azurewell/host/ticket_state.h
@@ -9,32 +9,40 @@
 
 namespace azurewell {
 
-/// Tickets by number with a bound on their text: a host must not grow with the history of the
-/// fleet.
+/// Tickets by number, limited in number and size so that a host's memory does not grow with the
+/// history of the fleet.
 struct TicketLog
 {
     std::map<TicketNumber, std::string> texts;
     std::size_t bytes = 0;
 };
 
-/// How this host learns of tickets and passes them on.
+/// State of reading tickets and relaying them to other hosts.
 struct TicketState
 {
-    TicketLog applied; ///< The newest in force, for hosts that are a little behind.
-    TicketLog early;   ///< Read before the one they follow, or before this host may believe them.
-    Instant nextAsk;   ///< One peer at a time is asked, not each that has something newer.
-    HostId snapshotFrom;
-    SnapshotAssembly assembly;       ///< A snapshot on its way from `snapshotFrom`.
-    SnapshotAssembly published;      ///< A snapshot of the platform, read whole or in part.
-    std::uint32_t snapshotTries = 0; ///< For the segment that is awaited.
-    bool isListRead = false;
-    Instant patienceEnds;          ///< A fresh host waits for its peers until then.
-    std::optional<Instant> newsAt; ///< The newest word of the service, here or at a peer.
-    bool isScanDue = false; ///< The tickets of this step may end requests that are on their way.
-    TicketNumber refused;   ///< The ticket that was refused last; its successors wait.
+    TicketLog applied; ///< The newest tickets in force, to be relayed to hosts that lack them.
+    /// Tickets that can't be applied yet: an earlier one is missing, or this host may not trust the
+    /// platform yet.
+    TicketLog pending;
+    /// When tickets may next be requested: from one peer at a time, not from each that has newer
+    /// ones.
+    Instant nextRequestAt;
+    HostId snapshotSender;
+    SnapshotAssembly assembly;  ///< Segments of the snapshot being received from `snapshotSender`.
+    SnapshotAssembly published; ///< Segments of a snapshot read from the platform.
+    std::uint32_t segmentRequests = 0; ///< Requests sent for the awaited segment.
+    bool hasHostList = false;
+    Instant peerWaitDeadline; ///< A newly started host waits for its peers until then.
+    /// Newest known response of the configuration service, to this host or a peer.
+    std::optional<Instant> lastUpdateAt;
+    /// Whether the tickets applied in this step may end requests in progress.
+    bool isRequestScanDue = false;
+    /// The ticket that was rejected last; later tickets wait for its correction.
+    TicketNumber refused;
     std::string refusedWhy;
     std::string refusedText;
-    bool isBelievingAtOnce = false; ///< Deliberate fault: a fresh host asks no peer first.
+    /// Fault injection: a newly started host trusts the platform without asking its peers.
+    bool isTrustingPlatformAtOnce = false;
 };
 
 } // namespace azurewell
--- a/packages/host/src/attempts.cpp
+++ b/packages/host/src/attempts.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint32_t mostAttempts = 4;
+constexpr std::uint32_t maxAttempts = 4;
 
 RetryReason retryReasonOf(AttemptOutcome outcome)
 {
@@ -56,30 +56,30 @@
     return outcome == AttemptOutcome::NotSent || outcome == AttemptOutcome::Refused;
 }
 
-/// Whether the upstream should get the request once more. A connection that went silent tells
-/// nothing of the engine: it has the stream still, and can go on with it on a new connection.
-bool mayTrySameAgain(const RequestRecord &record, AttemptOutcome outcome)
+/// Whether to retry at the same upstream. A connection that timed out does not mean that the engine
+/// failed: it still has the stream and can continue it on a new connection.
+bool mayRetrySameUpstream(const RequestRecord &record, AttemptOutcome outcome)
 {
     return outcome == AttemptOutcome::Silent && record.generated.count > 0 && record.attempt == 1;
 }
 
-/// Whether a retry may be made. A stream that the caller has a part of is resumed outside the
-/// budget: resuming repeats no work, and no more than the open streams of a failed engine can ask
-/// for it at once, each at most mostAttempts times.
+/// Whether a retry is allowed. A stream of which the caller has a part is resumed outside the retry
+/// budget: resuming repeats no work, and after an engine failure only its open streams are resumed,
+/// each at most maxAttempts times.
 bool mayRetry(Step &step, const RequestRecord &record)
 {
     return record.generated.count > 0 || takeRetry(step.state.retryBudget);
 }
 
-/// Tries a failed request elsewhere where that is safe and the budget allows; otherwise refuses it.
+/// Retries a failed request if that is safe and the retry budget allows it; otherwise refuses it.
 void retryOrRefuse(Step &step, RequestRecord &record, AttemptOutcome outcome)
 {
     const bool isNotRun = isCertainlyNotRun(outcome);
     const bool isSafe = isNotRun || record.isIdempotent;
     const RunState runState = isNotRun ? RunState::NotRun : RunState::Unknown;
     record.mayHaveRun = record.mayHaveRun || !isNotRun;
-    // After silence or a broken answer the engine may go on with it; the keeper has to cancel it
-    // before it may evict the adapter.
+    // After a timeout or an incomplete answer the engine may still run the request; the coordinator
+    // has to cancel it before it may evict the adapter.
     record.isCancelled = record.isCancelled || !isNotRun;
     if (outcome == AttemptOutcome::NotResumable) {
         endRefused(step, record, ResultCode::UpstreamFailed, RunState::Unknown);
@@ -89,8 +89,8 @@
         endRefused(step, record, ResultCode::OutcomeUnknown, RunState::Unknown);
         return;
     }
-    if (record.isCallerGone || record.attempt >= mostAttempts
-        || record.asked.deadline <= step.now) {
+    if (record.hasCallerDisconnected || record.attempt >= maxAttempts
+        || record.arrival.deadline <= step.now) {
         endRefused(step, record, refusalOf(outcome), runState);
         return;
     }
@@ -99,14 +99,14 @@
         return;
     }
     countRetry(step.state.counters, retryReasonOf(outcome));
-    if (outcome != AttemptOutcome::Cancelled && !mayTrySameAgain(record, outcome))
-        record.failedAt.push_back(record.upstream);
-    noteUnrouted(step, record);
+    if (outcome != AttemptOutcome::Cancelled && !mayRetrySameUpstream(record, outcome))
+        record.excludedUpstreams.push_back(record.upstream);
+    uncountRouted(step, record);
     releaseSlot(step, record, record.generated);
-    if (record.asked.kind == RequestKind::ServiceCall)
+    if (record.arrival.kind == RequestKind::ServiceCall)
         callService(step, record);
     else
-        seekSlot(step, record);
+        requestSlot(step, record);
 }
 
 } // namespace
@@ -120,7 +120,7 @@
     step.state.counters.generatedTokens += static_cast<std::uint64_t>(
             (event.generated - record->generated).count);
     record->generated = event.generated;
-    notePaceOf(step, *record, false);
+    recordStreamRate(step, *record, false);
 }
 
 void onAttemptEnded(Step &step, const AttemptEnded &event)
@@ -129,10 +129,10 @@
     RequestRecord *record = recordOf(step.state, event.request);
     if (!record || record->attempt != event.attempt || record->phase != RequestPhase::Running)
         return;
-    noteUpstreamOutcome(step, record->upstream, event.outcome);
+    recordUpstreamOutcome(step, record->upstream, event.outcome);
     if (event.outcome == AttemptOutcome::Done) {
         ++step.state.counters.completed;
-        notePaceOf(step, *record, true);
+        recordStreamRate(step, *record, true);
         if (needsPermit(*record))
             settleCall(step, *record, CallOutcome::Done, event.answer);
         endRequest(step, *record);
--- a/packages/host/src/engine_reports.cpp
+++ b/packages/host/src/engine_reports.cpp
@@ -6,62 +6,65 @@
 
 namespace {
 
-/// Ends of orders are remembered this long; no report that was asked for earlier is still to come.
-constexpr Span longestReport = fromSeconds(10);
-/// Adapters a summary names as waited for; twice the slots of an engine.
-constexpr std::size_t mostWanted = 16;
+/// How long the ends of orders are kept. Load reports that were requested before are not
+/// expected any more after this time.
+constexpr Span maxReportAge = fromSeconds(10);
+/// Maximum number of wanted adapters in a summary; twice the slots of an engine.
+constexpr std::size_t maxWantedAdapters = 16;
 
-void forgetAdapters(Step &step, KeptEngine &kept)
+void clearAdapters(Step &step, CoordinatedEngine &engineState)
 {
     std::vector<AdapterRef> known;
-    for (const auto &[ref, adapter] : kept.adapters.adapters)
+    for (const auto &[ref, adapter] : engineState.adapters.adapters)
         known.push_back(ref);
     for (const AdapterRef &ref : known)
-        applyEvent(kept.adapters, step.state.charts.adapter, ref, AdapterEvent::EngineRestarted,
-                   step.now);
-    kept.orders.clear();
-    kept.doubtfulUntil.clear();
+        applyEvent(engineState.adapters, step.state.charts.adapter, ref,
+                   AdapterEvent::EngineRestarted, step.now);
+    engineState.orders.clear();
+    engineState.abandonedUnloads.clear();
 }
 
-/// Whether \a report was asked for after the newest order for \a ref had ended. An older one shows
-/// the engine as it was before: it would bring an unloaded adapter back, or hide a loaded one.
-bool tellsOf(const KeptEngine &kept, const LoadReported &report, const AdapterRef &ref)
+/// Whether \a report was requested after the newest order for \a ref had ended. An older report
+/// shows an earlier state: it would bring an unloaded adapter back, or hide a loaded one.
+bool isCurrentFor(const CoordinatedEngine &engineState, const LoadReported &report,
+                  const AdapterRef &ref)
 {
-    if (kept.orders.contains(ref) || kept.doubtfulUntil.contains(ref))
+    if (engineState.orders.contains(ref) || engineState.abandonedUnloads.contains(ref))
         return false;
-    const auto ended = kept.orderEndedAt.find(ref);
-    return ended == kept.orderEndedAt.end() || report.askedAt > ended->second;
+    const auto ended = engineState.orderEndedAt.find(ref);
+    return ended == engineState.orderEndedAt.end() || report.askedAt > ended->second;
 }
 
-/// Takes over what the engine has loaded, and drops what it has lost.
-void reconcile(Step &step, KeptEngine &kept, const LoadReported &report)
+/// Updates the loaded adapters from \a report and drops those that the engine no longer has.
+void reconcile(Step &step, CoordinatedEngine &engineState, const LoadReported &report)
 {
     const Chart &chart = step.state.charts.adapter;
     for (const AdapterRef &ref : report.loaded) {
-        if (!isLoaded(kept.adapters, ref) && tellsOf(kept, report, ref))
-            applyEvent(kept.adapters, chart, ref, AdapterEvent::LoadDone, step.now);
+        if (!isLoaded(engineState.adapters, ref) && isCurrentFor(engineState, report, ref))
+            applyEvent(engineState.adapters, chart, ref, AdapterEvent::LoadDone, step.now);
     }
     std::vector<AdapterRef> lost;
-    for (const auto &[ref, adapter] : kept.adapters.adapters) {
+    for (const auto &[ref, adapter] : engineState.adapters.adapters) {
         const bool isReported = std::find(report.loaded.begin(), report.loaded.end(), ref)
                 != report.loaded.end();
-        if (adapter.state == AdapterState::Loaded && !isReported && tellsOf(kept, report, ref))
+        if (adapter.state == AdapterState::Loaded && !isReported
+            && isCurrentFor(engineState, report, ref))
             lost.push_back(ref);
     }
     for (const AdapterRef &ref : lost)
-        applyEvent(kept.adapters, chart, ref, AdapterEvent::UnloadDone, step.now);
+        applyEvent(engineState.adapters, chart, ref, AdapterEvent::UnloadDone, step.now);
 }
 
 } // namespace
 
-void endDoubts(Step &step, KeptEngine &kept)
+void expireAbandonedUnloads(Step &step, CoordinatedEngine &engineState)
 {
-    std::erase_if(kept.doubtfulUntil, [&](const auto &entry) {
+    std::erase_if(engineState.abandonedUnloads, [&](const auto &entry) {
         if (entry.second > step.now)
             return false;
-        applyEvent(kept.adapters, step.state.charts.adapter, entry.first,
+        applyEvent(engineState.adapters, step.state.charts.adapter, entry.first,
                    AdapterEvent::UnloadFailed, step.now);
-        kept.orderEndedAt[entry.first] = step.now;
+        engineState.orderEndedAt[entry.first] = step.now;
         return true;
     });
 }
@@ -71,47 +74,49 @@
     const auto found = step.state.kept.find(report.engine);
     if (found == step.state.kept.end() || !report.isReachable)
         return;
-    KeptEngine &kept = found->second;
-    if (report.askedAt < kept.newestReportAsked)
-        return; // overtaken by a newer one
-    kept.newestReportAsked = report.askedAt;
-    if (kept.engineStart != 0 && kept.engineStart != report.engineStart)
-        forgetAdapters(step, kept);
-    kept.engineStart = report.engineStart;
-    std::erase_if(kept.orderEndedAt,
-                  [&step](const auto &entry) { return step.now - entry.second > longestReport; });
-    reconcile(step, kept, report);
-    // Requests that nobody registered here can run on slots of a former keeper, their host stopped
-    // or cut off. They show as more running than granted.
-    const bool isAfterLeases = kept.evictFrom != never && report.askedAt >= kept.evictFrom;
-    if (isAfterLeases && report.running + report.queued <= kept.granted.size())
-        kept.isQuiet = true;
+    CoordinatedEngine &engineState = found->second;
+    if (report.askedAt < engineState.newestReportRequestedAt)
+        return; // a newer report was processed before
+    engineState.newestReportRequestedAt = report.askedAt;
+    if (engineState.engineStart != 0 && engineState.engineStart != report.engineStart)
+        clearAdapters(step, engineState);
+    engineState.engineStart = report.engineStart;
+    std::erase_if(engineState.orderEndedAt,
+                  [&step](const auto &entry) { return step.now - entry.second > maxReportAge; });
+    reconcile(step, engineState, report);
+    // Requests that are not registered here may run on slots of a previous coordinator if their
+    // host is suspended or disconnected. The engine then reports more running requests than are
+    // granted.
+    const bool isAfterLeases = engineState.evictionAllowedFrom != never
+            && report.askedAt >= engineState.evictionAllowedFrom;
+    if (isAfterLeases && report.running + report.queued <= engineState.granted.size())
+        engineState.hasNoUnknownRequests = true;
     const Upstream *engine = upstreamInForce(step.state, report.engine);
     if (engine)
-        grantReady(step, kept, *engine);
+        grantReady(step, engineState, *engine);
 }
 
 void onOrderEnded(Step &step, const OrderEnded &event)
 {
     HostState &state = step.state;
     if (event.refusedBy > FencingNumber{}) {
-        // Another keeper has gone further; the next order has to be above its number.
+        // Another coordinator has used a higher number; the next order must be above it.
         ++state.counters.ordersRefused;
         state.fencing = std::max(state.fencing, event.refusedBy);
     }
-    const auto kept = state.kept.find(event.engine);
+    const auto engineState = state.kept.find(event.engine);
     const Upstream *engine = upstreamInForce(state, event.engine);
-    if (kept == state.kept.end() || !engine)
+    if (engineState == state.kept.end() || !engine)
         return;
-    const auto order = kept->second.orders.find(event.adapter);
+    const auto order = engineState->second.orders.find(event.adapter);
     const bool isNumbered = event.fencing > FencingNumber{};
-    if (isNumbered && (order == kept->second.orders.end() || order->second != event.fencing))
-        return; // ordered before the engine restarted, or in an earlier term as its keeper
-    if (order != kept->second.orders.end())
-        kept->second.orders.erase(order);
-    kept->second.orderEndedAt[event.adapter] = step.now;
+    if (isNumbered && (order == engineState->second.orders.end() || order->second != event.fencing))
+        return; // ordered before a restart of the engine, or in an earlier term as its coordinator
+    if (order != engineState->second.orders.end())
+        engineState->second.orders.erase(order);
+    engineState->second.orderEndedAt[event.adapter] = step.now;
     const Chart &chart = state.charts.adapter;
-    EngineAdapters &adapters = kept->second.adapters;
+    EngineAdapters &adapters = engineState->second.adapters;
     const auto adapter = adapters.adapters.find(event.adapter);
     if (event.isLoad && adapter != adapters.adapters.end()
         && adapter->second.state == AdapterState::Loading)
@@ -125,13 +130,13 @@
         return;
     }
     if (!event.isLoad && !event.isDone) {
-        kept->second.doubtfulUntil[event.adapter] = step.now + orderFlight;
+        engineState->second.abandonedUnloads[event.adapter] = step.now + orderFlight;
         return;
     }
     applyEvent(adapters, chart, event.adapter,
                event.isLoad ? AdapterEvent::LoadDone : AdapterEvent::UnloadDone, step.now);
-    grantReady(step, kept->second, *engine);
-    // A load has ended: the next may be for any of the engines kept here.
+    grantReady(step, engineState->second, *engine);
+    // A load has ended: the next one may be for any of the engines coordinated here.
     for (auto &[id, other] : state.kept) {
         if (const Upstream *upstream = upstreamInForce(state, id))
             orderLoads(step, other, *upstream);
@@ -141,18 +146,18 @@
 std::vector<EngineSummary> summarizeEngines(const HostState &state)
 {
     std::vector<EngineSummary> summaries;
-    for (const auto &[id, kept] : state.kept) {
+    for (const auto &[id, engineState] : state.kept) {
         EngineSummary summary;
         summary.engine = id;
-        summary.queued = static_cast<std::uint32_t>(kept.queue.size);
-        summary.running = static_cast<std::uint32_t>(kept.granted.size());
-        for (const auto &[ref, adapter] : kept.adapters.adapters) {
+        summary.queued = static_cast<std::uint32_t>(engineState.queue.size);
+        summary.running = static_cast<std::uint32_t>(engineState.granted.size());
+        for (const auto &[ref, adapter] : engineState.adapters.adapters) {
             if (adapter.state == AdapterState::Loaded)
                 summary.loaded.push_back(ref);
         }
-        summary.openSlots = openSlots(kept.adapters);
-        for (const auto &[ref, count] : kept.queue.waitingFor) {
-            if (!isLoaded(kept.adapters, ref) && summary.wanted.size() < mostWanted)
+        summary.openSlots = openSlots(engineState.adapters);
+        for (const auto &[ref, count] : engineState.queue.waitingFor) {
+            if (!isLoaded(engineState.adapters, ref) && summary.wanted.size() < maxWantedAdapters)
                 summary.wanted.push_back(ref);
         }
         summaries.push_back(std::move(summary));
--- a/packages/host/src/heartbeats.cpp
+++ b/packages/host/src/heartbeats.cpp
@@ -7,25 +7,27 @@
 namespace {
 
 constexpr Span heartbeatInterval = fromSeconds(0.5);
-/// Unchanged lists of loaded adapters are said again this often.
-constexpr Span fullInterval = fromSeconds(5);
-/// Slots are renewed this often: four renewals lost in a row still leave a fifth of a lease of ten
-/// seconds. At each heartbeat they were half of what a node sent under load.
+/// Interval at which unchanged lists of loaded adapters are sent again.
+constexpr Span fullListInterval = fromSeconds(5);
+/// Interval of slot renewals: four lost in a row still leave a fifth of a ten-second lease. When
+/// sent with each heartbeat, renewals were half of what a node sent under load.
 constexpr Span renewalInterval = fromSeconds(2);
-/// Heartbeats to other zones, all together. Up to ten hosts there are told each half second; of 347
-/// at 390 hosts each hears this one every 17 s, and its zone hears from ours forty times a second.
-constexpr double farPerSecond = 20;
-/// Beyond this interval summaries are too old to route by, and are left out.
-constexpr Span oldestSummary = fromSeconds(2);
-/// Hosts of the own zone that get summaries with each heartbeat; more get them in turn.
-constexpr double nearWithSummaries = 10;
+/// Heartbeats per second to all hosts of other zones together. Up to ten hosts there get one every
+/// 0.5 s. With 347 of them (390 hosts in all), each gets one from this host every 17 s, and its
+/// zone gets one from this zone forty times a second.
+constexpr double remoteHeartbeatsPerSecond = 20;
+/// If the heartbeat interval is longer, summaries would be too old for routing and are omitted.
+constexpr Span maxSummaryInterval = fromSeconds(2);
+/// Number of hosts of the own zone that get summaries with each heartbeat; if there are more, they
+/// take turns.
+constexpr double localPeersWithSummaries = 10;
 
-bool isBeatenTo(const Peer &peer)
+bool receivesHeartbeats(const Peer &peer)
 {
     return peer.isListed || peer.state != PeerState::Gone;
 }
 
-/// How often hosts of other zones are beaten to, and those of the own zone get summaries.
+/// Interval of heartbeats to hosts of other zones, and of summaries to hosts of the own zone.
 struct Intervals
 {
     Span far{};
@@ -37,56 +39,57 @@
     double near = 0;
     double far = 0;
     for (const auto &[id, peer] : state.membership.peers) {
-        if (isBeatenTo(peer))
+        if (receivesHeartbeats(peer))
             ++(peer.zone == state.self.zone ? near : far);
     }
-    const Span spread = fromSeconds(far / farPerSecond);
-    const Span turn = fromSeconds(toSeconds(heartbeatInterval) * near / nearWithSummaries);
+    const Span spread = fromSeconds(far / remoteHeartbeatsPerSecond);
+    const Span turn = fromSeconds(toSeconds(heartbeatInterval) * near / localPeersWithSummaries);
     return Intervals{ std::max(heartbeatInterval, spread), std::max(heartbeatInterval, turn) };
 }
 
-/// Notes when each engine's list of loaded adapters last changed.
-void noteLists(Step &step, const std::vector<EngineSummary> &summaries)
+/// Records when each engine's list of loaded adapters last changed.
+void recordLoadedAdapters(Step &step, const std::vector<EngineSummary> &summaries)
 {
-    std::map<UpstreamId, LoadedList> lists;
+    std::map<UpstreamId, LoadedAdapters> loadedAdapters;
     for (const EngineSummary &summary : summaries) {
-        const auto former = step.state.heartbeats.lists.find(summary.engine);
-        const bool isSame = former != step.state.heartbeats.lists.end()
+        const auto former = step.state.heartbeats.loadedAdapters.find(summary.engine);
+        const bool isSame = former != step.state.heartbeats.loadedAdapters.end()
                 && former->second.loaded == summary.loaded;
-        lists[summary.engine] = LoadedList{ summary.loaded,
-                                            isSame ? former->second.changedAt : step.now };
+        loadedAdapters[summary.engine] = LoadedAdapters{ summary.loaded,
+                                                         isSame ? former->second.changedAt
+                                                                : step.now };
     }
-    step.state.heartbeats.lists = std::move(lists);
+    step.state.heartbeats.loadedAdapters = std::move(loadedAdapters);
 }
 
-/// The summaries for one host, without the lists that it has already.
-std::vector<EngineSummary> summariesFor(Step &step, PeerBeats &beats,
+/// The summaries for one host, without the lists that it already has.
+std::vector<EngineSummary> summariesFor(Step &step, PeerHeartbeats &heartbeats,
                                         std::vector<EngineSummary> summaries)
 {
-    const bool isFull = step.now >= beats.nextFull;
+    const bool isFull = step.now >= heartbeats.nextFullListsAt;
     if (isFull)
-        beats.nextFull = step.now + fullInterval;
+        heartbeats.nextFullListsAt = step.now + fullListInterval;
     for (EngineSummary &summary : summaries) {
-        const Instant changedAt = step.state.heartbeats.lists.at(summary.engine).changedAt;
-        summary.isPartial = !isFull && changedAt < beats.summariesAt;
+        const Instant changedAt = step.state.heartbeats.loadedAdapters.at(summary.engine).changedAt;
+        summary.isPartial = !isFull && changedAt < heartbeats.summariesSentAt;
         if (summary.isPartial)
             summary.loaded.clear();
     }
-    beats.summariesAt = step.now;
+    heartbeats.summariesSentAt = step.now;
     return summaries;
 }
 
-/// Whether \a next has come; moves it on.
-bool takeTurn(Instant &next, Span interval, Instant now)
+/// Whether \a next is due; if so, sets it to one \a interval from now.
+bool advanceIfDue(Instant &next, Span interval, Instant now)
 {
-    // Half a heartbeat early rather than a whole one late.
+    // Half a heartbeat interval early is better than a whole one late.
     if (now + heartbeatInterval / 2 < next)
         return false;
     next = now + interval;
     return true;
 }
 
-Heartbeat beatOf(Step &step)
+Heartbeat makeHeartbeat(Step &step)
 {
     const HostState &state = step.state;
     Heartbeat beat;
@@ -98,7 +101,7 @@
     beat.address = state.self.peerAddress;
     beat.highestFencing = state.fencing;
     beat.serial = nextSerial(step);
-    beat.newsAge = newsAge(step);
+    beat.updateAge = updateAge(step);
     return beat;
 }
 
@@ -113,31 +116,34 @@
 
     const Intervals intervals = intervalsOf(state);
     const std::vector<EngineSummary> own = summarizeEngines(state);
-    noteLists(step, own);
-    Heartbeat beat = beatOf(step);
+    recordLoadedAdapters(step, own);
+    Heartbeat beat = makeHeartbeat(step);
     for (const auto &[id, peer] : state.membership.peers) {
-        if (!isBeatenTo(peer)) {
+        if (!receivesHeartbeats(peer)) {
             state.heartbeats.peers.erase(id);
             continue;
         }
-        PeerBeats &beats = state.heartbeats.peers[id];
-        if (beats.life != peer.incarnation)
-            beats = PeerBeats{ peer.incarnation, {}, {}, {}, {} };
-        const bool isFar = peer.zone != state.self.zone;
-        const Span interval = isFar ? intervals.far : heartbeatInterval;
-        // A leaving host tells everybody at once.
-        const bool isDue = !isFar || takeTurn(beats.nextBeat, interval, step.now) || beat.isLeaving;
+        PeerHeartbeats &heartbeats = state.heartbeats.peers[id];
+        if (heartbeats.incarnation != peer.incarnation)
+            heartbeats = PeerHeartbeats{ peer.incarnation, {}, {}, {}, {} };
+        const bool isRemote = peer.zone != state.self.zone;
+        const Span interval = isRemote ? intervals.far : heartbeatInterval;
+        // A leaving host notifies all hosts at once.
+        const bool isDue = !isRemote || advanceIfDue(heartbeats.nextHeartbeatAt, interval, step.now)
+                || beat.isLeaving;
         if (!isDue)
             continue;
-        const bool isUseful = !isFar || interval <= oldestSummary;
-        const Span turn = isFar ? interval : intervals.summaries;
-        const bool hasSummaries = isUseful && takeTurn(beats.nextSummaries, turn, step.now);
-        beat.engines = hasSummaries ? summariesFor(step, beats, own) : std::vector<EngineSummary>{};
-        beat.nextWithin = interval;
-        addKeeperPromise(step, id, beat);
+        const bool isUseful = !isRemote || interval <= maxSummaryInterval;
+        const Span turn = isRemote ? interval : intervals.summaries;
+        const bool hasSummaries = isUseful
+                && advanceIfDue(heartbeats.nextSummariesAt, turn, step.now);
+        beat.engines = hasSummaries ? summariesFor(step, heartbeats, own)
+                                    : std::vector<EngineSummary>{};
+        beat.nextHeartbeatTimeout = interval;
+        addViewPromise(step, id, beat);
         step.actions.emplace_back(SendPeer{ id, peer.address, beat });
     }
-    noteSummaries(step, own);
+    recordSummaries(step, own);
     if (step.now >= state.heartbeats.nextRenewal) {
         state.heartbeats.nextRenewal = step.now + renewalInterval;
         renewSlots(step);
--- a/packages/host/src/host.cpp
+++ b/packages/host/src/host.cpp
@@ -21,15 +21,15 @@
 
 void onTick(Step &step)
 {
-    tendMembership(step);
+    updateMembership(step);
     expireRequests(step);
     endLostSlots(step);
-    askAgain(step);
-    tendHostShares(step);
+    resendSlotRequests(step);
+    updateHostShares(step);
     admitWaiting(step);
-    tendEngines(step);
-    tendCalls(step);
-    tendTickets(step);
+    updateEngines(step);
+    updateCalls(step);
+    updateTickets(step);
     sendHeartbeats(step);
     stopIfDrained(step);
 }
@@ -37,11 +37,11 @@
 void onStopAsked(Step &step, const StopAsked &event)
 {
     HostState &state = step.state;
-    // A host that knows nothing yet has nothing to serve, and a second signal means "now".
+    // A host that is still starting has nothing to serve, and a second signal means "stop at once".
     const bool isServing = state.process == ProcessState::Serving;
     state.servesUntil = isServing ? step.now + event.grace : step.now;
     state.process = advance(state.charts.process, state.process, ProcessEvent::StopAsked);
-    state.nextHeartbeat = step.now; // the others hear of it at once
+    state.nextHeartbeat = step.now; // notify the other hosts at once
     sendHeartbeats(step);
 }
 
@@ -91,7 +91,7 @@
     }
     void operator()(const PlatformHeard &) const
     {
-        notePlatformHeard(this->step);
+        recordPlatformResponse(this->step);
     }
     void operator()(const Tick &) const
     {
@@ -110,8 +110,8 @@
     HostState state;
     state.random.seed(identity.randomSeed);
     state.fencing = FencingNumber{ identity.incarnation.value };
-    // Serials of two lives of a host must differ: an echo of the former life's would be taken for a
-    // promise to this one.
+    // Serials of two incarnations of a host must differ: the echo of a serial of the previous one
+    // would be taken for a promise to this one.
     state.nextSerial = (identity.incarnation.value % 65536) << 24 | 1;
     state.shares = makeShares(identity);
     state.calls.ledger.host = identity.id;
@@ -126,8 +126,8 @@
 void handle(HostState &state, const Event &event, Instant now, std::vector<Action> &actions)
 {
     Step step{ state, now, actions };
-    noteWake(step);
-    noteTime(state.shares, now); // a host that was paused doubts its seat before anything else
+    detectSuspension(step);
+    noteTime(state.shares, now); // a host that was suspended must first check its ordinal
     std::visit(Handler{ step }, event);
     while (!state.loopback.empty()) {
         const PeerMessage message = std::move(state.loopback.front());
--- a/packages/host/src/keepers.cpp
+++ b/packages/host/src/keepers.cpp
@@ -8,23 +8,25 @@
 
 namespace {
 
-/// A process that hears nothing from its event loop for this long was stopped: ticks come every
-/// 10 ms, and a loop that is late by a hundred of them is not merely busy.
-constexpr Span wakeGap = fromSeconds(1);
-/// After a stop a host listens for two heartbeats before it grants or promises anything.
+/// A process whose event loop handled nothing for this long was suspended: ticks arrive every 10
+/// ms, and an event loop that is late by a hundred of them is not merely busy.
+constexpr Span suspensionThreshold = fromSeconds(1);
+/// After a suspension a host receives for two heartbeat intervals before it grants or promises
+/// anything.
 constexpr Span listenTime = fromSeconds(1);
-/// Membership is looked through every fifth tick; a heartbeat's absence is known no finer.
-constexpr Span upkeepInterval = fromSeconds(0.05);
-/// A host without any list (the platform is down) waits this long for peers to speak up.
-constexpr Span listPatience = fromSeconds(0.5);
+/// Interval of membership updates: every fifth tick. Missing heartbeats are not detected more
+/// precisely.
+constexpr Span membershipUpdateInterval = fromSeconds(0.05);
+/// How long a host without any host list (the platform is down) waits for heartbeats of peers.
+constexpr Span hostListTimeout = fromSeconds(0.5);
 
 bool isSelfLeaving(const HostState &state)
 {
     return state.process == ProcessState::Draining || state.process == ProcessState::Stopped;
 }
 
-/// The engine's keeper among \a hosts of its zone.
-const HostId *bestOf(const std::vector<HostId> &hosts, const UpstreamId &engine)
+/// The coordinator of \a engine among \a hosts of its zone; nullptr if there are none.
+const HostId *coordinatorAmong(const std::vector<HostId> &hosts, const UpstreamId &engine)
 {
     const HostId *best = nullptr;
     std::uint64_t bestWeight = 0;
@@ -38,13 +40,14 @@
     return best;
 }
 
-bool isBestOf(const HostState &state, const std::vector<HostId> &hosts, const UpstreamId &engine)
+bool isSelfCoordinatorAmong(const HostState &state, const std::vector<HostId> &hosts,
+                            const UpstreamId &engine)
 {
-    const HostId *best = bestOf(hosts, engine);
+    const HostId *best = coordinatorAmong(hosts, engine);
     return best && *best == state.self.id;
 }
 
-/// A zone without host places of its own; its engines are kept from other zones.
+/// Whether \a zone has no host ordinals of its own; its engines are coordinated from other zones.
 bool isZoneWithoutHosts(const HostState &state, const ZoneId &zone)
 {
     const auto found = state.inForce.zones.find(zone);
@@ -52,64 +55,66 @@
             && (found == state.inForce.zones.end() || found->second.seats == 0);
 }
 
-/// Sets when the first view of this life may be adopted. Until every possible host of the zone has
-/// heard of this one, any of them may order evictions without asking it, and would evict under the
-/// requests that it sent; so it grants nothing before, and for as long as an order already given
-/// can still arrive. Hosts that never answer are waited for until they would count as gone.
-void tendJoin(Step &step)
+/// Sets when the first view of this incarnation may be adopted. Until every host of the zone
+/// that may be running knows this one, any of them may order evictions without its promise, and
+/// would evict adapters that its requests use. So it grants nothing until then, nor while an order
+/// that was already sent can still arrive. Hosts that never answer are waited for until they would
+/// count as gone.
+void updateJoinTime(Step &step)
 {
-    KeeperState &keepers = step.state.keepers;
-    if (keepers.views.epoch > 0)
+    CoordinationState &coordination = step.state.coordination;
+    if (coordination.views.epoch > 0)
         return;
-    const std::vector<HostId> possible = possibleHostsOf(step.state.membership,
-                                                         step.state.self.zone);
+    const std::vector<HostId> possible = possiblyRunningHosts(step.state.membership,
+                                                              step.state.self.zone);
     const bool isKnown = std::all_of(possible.begin(), possible.end(), [&](const HostId &host) {
-        return keepers.knownBy.contains(host);
+        return coordination.acknowledgedBy.contains(host);
     });
-    const bool hasWaited = step.now >= keepers.startedAt + goneAfter;
-    const bool knowsPeers = keepers.isListRead || !possible.empty()
-            || step.now >= keepers.startedAt + listPatience;
+    const bool hasWaited = step.now >= coordination.startedAt + goneAfter;
+    const bool knowsPeers = coordination.hasHostList || !possible.empty()
+            || step.now >= coordination.startedAt + hostListTimeout;
     if (!hasWaited && (!isKnown || !knowsPeers)) {
-        keepers.joinAfter = never;
+        coordination.joinAllowedAt = never;
         return;
     }
-    const Span inFlight = possible.empty() ? Span{} : unloadLifetime + orderFlight;
-    keepers.joinAfter = std::min(keepers.joinAfter, step.now + inFlight);
+    const Span inFlight = possible.empty() ? Span{} : unloadTimeout + orderFlight;
+    coordination.joinAllowedAt = std::min(coordination.joinAllowedAt, step.now + inFlight);
 }
 
-/// Notes whether all possible hosts promise this host's view, and from when a former keeper's
-/// leases have surely run out.
-void tendCompleteness(Step &step)
+/// Updates whether all hosts that may be running promise this host's view, and from when a previous
+/// coordinator's leases have certainly expired.
+void updatePromiseCompleteness(Step &step)
 {
     HostState &state = step.state;
-    KeeperState &keepers = state.keepers;
-    const std::vector<HostId> possible = possibleHostsOf(state.membership, state.self.zone);
-    keepers.seen.insert(possible.begin(), possible.end());
-    const bool isSettled = keepers.candidate == keepers.views.adopted
-            && step.now >= keepers.listenUntil;
-    const bool isComplete = isSettled
-            && isPromisedByAll(keepers.views, possible,
-                               step.now + upkeepInterval + unloadLifetime + orderFlight);
-    const bool hasBecome = isComplete
-            && (!keepers.isComplete || keepers.views.lastCompleteEpoch != keepers.views.epoch);
-    keepers.isComplete = isComplete;
-    if (!hasBecome)
+    CoordinationState &coordination = state.coordination;
+    const std::vector<HostId> possible = possiblyRunningHosts(state.membership, state.self.zone);
+    coordination.hostsSinceComplete.insert(possible.begin(), possible.end());
+    const bool isSettled = coordination.candidateHosts == coordination.views.adoptedHosts
+            && step.now >= coordination.listenUntil;
+    const bool hasAllPromises = isSettled
+            && isPromisedByAll(coordination.views, possible,
+                               step.now + membershipUpdateInterval + unloadTimeout + orderFlight);
+    const bool isNewlyComplete = hasAllPromises
+            && (!coordination.hasAllPromises
+                || coordination.views.lastCompleteEpoch != coordination.views.epoch);
+    coordination.hasAllPromises = hasAllPromises;
+    if (!isNewlyComplete)
         return;
-    // A host that has gone meanwhile promised nothing at its end. It may be stopped or cut off, and
-    // what it granted by a view of its own runs on for a lease.
-    const bool hasLost = keepers.seen.size() > possible.size();
-    keepers.seen = { possible.begin(), possible.end() };
-    const bool isSteady = noteComplete(keepers.views, possible) && !hasLost;
-    for (auto &[id, kept] : state.kept) {
-        if (kept.evictFrom == never || !isSteady)
-            kept.evictFrom = step.now + slotLease;
+    // A host that is gone now has not promised this view. It may be suspended or disconnected, and
+    // slots that it granted by a view of its own last for one more lease.
+    const bool hasLostHost = coordination.hostsSinceComplete.size() > possible.size();
+    coordination.hostsSinceComplete = { possible.begin(), possible.end() };
+    const bool isSteady = recordAllPromises(coordination.views, possible) && !hasLostHost;
+    for (auto &[id, engineState] : state.kept) {
+        if (engineState.evictionAllowedFrom == never || !isSteady)
+            engineState.evictionAllowedFrom = step.now + slotLease;
         if (!isSteady)
-            kept.isQuiet = false;
+            engineState.hasNoUnknownRequests = false;
     }
 }
 
-/// A number for all usable hosts of all zones.
-std::uint64_t usableNumber(const HostState &state)
+/// Hash of the usable hosts of all zones.
+std::uint64_t usableHostsHash(const HostState &state)
 {
     std::uint64_t number = isSelfLeaving(state) ? 1 : 2;
     for (const auto &[id, peer] : state.membership.peers) {
@@ -122,129 +127,136 @@
 void adopt(Step &step)
 {
     HostState &state = step.state;
-    KeeperState &keepers = state.keepers;
-    const bool mayAdopt = keepers.views.epoch > 0 || step.now >= keepers.joinAfter;
-    if (!mayAdopt || step.now < keepers.listenUntil
-        || !adoptView(keepers.views, keepers.candidate, step.now))
+    CoordinationState &coordination = state.coordination;
+    const bool mayAdopt = coordination.views.epoch > 0 || step.now >= coordination.joinAllowedAt;
+    if (!mayAdopt || step.now < coordination.listenUntil
+        || !adoptView(coordination.views, coordination.candidateHosts, step.now))
         return;
-    for (auto &[id, kept] : state.kept) {
-        if (!isBestOf(state, keepers.views.adopted, id))
-            kept.evictFrom = never;
+    for (auto &[id, engineState] : state.kept) {
+        if (!isSelfCoordinatorAmong(state, coordination.views.adoptedHosts, id))
+            engineState.evictionAllowedFrom = never;
     }
 }
 
 } // namespace
 
-void noteWake(Step &step)
+void detectSuspension(Step &step)
 {
-    KeeperState &keepers = step.state.keepers;
-    if (keepers.startedAt == Instant{}) {
-        keepers.startedAt = step.now;
-        keepers.joinAfter = never;
-    } else if (step.now - keepers.handledAt > wakeGap) {
-        // Everything below was believed before the stop. Leases and promises are deadlines and have
-        // run out by themselves; the membership has not, and would make every peer seem silent.
+    CoordinationState &coordination = step.state.coordination;
+    if (coordination.startedAt == Instant{}) {
+        coordination.startedAt = step.now;
+        coordination.joinAllowedAt = never;
+    } else if (step.now - coordination.lastEventAt > suspensionThreshold) {
+        // The state dates from before the suspension. Leases and promises have deadlines and expire
+        // by themselves; the heartbeat deadlines of peers must be extended, or every peer would
+        // seem unreachable.
         ++step.state.counters.lateWakes;
-        keepers.listenUntil = step.now + listenTime;
-        keepers.isComplete = false;
-        forgiveSilence(step.state.membership, step.now);
+        coordination.listenUntil = step.now + listenTime;
+        coordination.hasAllPromises = false;
+        extendHeartbeatDeadlines(step.state.membership, step.now);
         endLostSlots(step);
         step.state.nextHeartbeat = step.now;
     }
-    keepers.handledAt = step.now;
+    coordination.lastEventAt = step.now;
 }
 
-void tendMembership(Step &step)
+void updateMembership(Step &step)
 {
     HostState &state = step.state;
-    KeeperState &keepers = state.keepers;
-    if (step.now < keepers.nextUpkeep)
+    CoordinationState &coordination = state.coordination;
+    if (step.now < coordination.nextMembershipUpdate)
         return;
-    keepers.nextUpkeep = step.now + upkeepInterval;
-    noteSilence(state.membership, state.charts.peer, step.now);
-    const std::uint64_t number = usableNumber(state);
-    if (number != keepers.usableNumber) {
-        keepers.usableNumber = number;
-        keepers.keepers.clear();
+    coordination.nextMembershipUpdate = step.now + membershipUpdateInterval;
+    updateUnreachablePeers(state.membership, state.charts.peer, step.now);
+    const std::uint64_t number = usableHostsHash(state);
+    if (number != coordination.usableHostsHash) {
+        coordination.usableHostsHash = number;
+        coordination.coordinators.clear();
     }
-    keepers.candidate = usableHostsOf(state.membership, state.self.id, isSelfLeaving(state),
-                                      state.self.zone);
-    tendJoin(step);
+    coordination.candidateHosts = usableHosts(state.membership, state.self.id, isSelfLeaving(state),
+                                              state.self.zone);
+    updateJoinTime(step);
     adopt(step);
-    tendCompleteness(step);
+    updatePromiseCompleteness(step);
 }
 
-void noteKeeperPromise(Step &step, const HostId &sender, Incarnation incarnation,
+void recordViewPromise(Step &step, const HostId &sender, Incarnation incarnation,
                        const Heartbeat &beat)
 {
     HostState &state = step.state;
-    KeeperState &keepers = state.keepers;
-    auto &[life, serial] = keepers.newestSerials[sender];
-    if (incarnation > life)
+    CoordinationState &coordination = state.coordination;
+    auto &[newestIncarnation, serial] = coordination.newestSerials[sender];
+    if (incarnation > newestIncarnation)
         serial = 0;
-    life = std::max(life, incarnation);
+    newestIncarnation = std::max(newestIncarnation, incarnation);
     serial = std::max(serial, beat.serial);
     const auto sent = state.serialSentAt.find(beat.echo);
     if (sent == state.serialSentAt.end())
         return;
-    keepers.knownBy.insert(sender);
-    const double relied = toSeconds(promiseLength) * (1 - promiseDriftMargin);
-    notePromise(keepers.views, sender, incarnation, beat.view, beat.viewEpoch,
-                sent->second + fromSeconds(relied), step.now);
+    coordination.acknowledgedBy.insert(sender);
+    const double relied = toSeconds(promiseDuration) * (1 - promiseDriftMargin);
+    recordPromise(coordination.views, sender, incarnation, beat.view, beat.viewEpoch,
+                  sent->second + fromSeconds(relied), step.now);
 }
 
-void addKeeperPromise(Step &step, const HostId &receiver, Heartbeat &beat)
+void addViewPromise(Step &step, const HostId &receiver, Heartbeat &beat)
 {
-    KeeperState &keepers = step.state.keepers;
-    const auto newest = keepers.newestSerials.find(receiver);
-    beat.echo = newest == keepers.newestSerials.end() ? 0 : newest->second.second;
-    const bool isSettled = keepers.views.view != 0 && keepers.candidate == keepers.views.adopted
-            && step.now >= keepers.listenUntil;
-    beat.view = isSettled ? keepers.views.view : 0;
-    beat.viewEpoch = keepers.views.epoch;
+    CoordinationState &coordination = step.state.coordination;
+    const auto newest = coordination.newestSerials.find(receiver);
+    beat.echo = newest == coordination.newestSerials.end() ? 0 : newest->second.second;
+    const bool isSettled = coordination.views.view != 0
+            && coordination.candidateHosts == coordination.views.adoptedHosts
+            && step.now >= coordination.listenUntil;
+    beat.view = isSettled ? coordination.views.view : 0;
+    beat.viewEpoch = coordination.views.epoch;
     if (isSettled)
-        keepers.views.promisedUntil = step.now + promiseLength;
+        coordination.views.promisedUntil = step.now + promiseDuration;
 }
 
-std::optional<HostId> engineKeeper(HostState &state, const Upstream &engine)
+std::optional<HostId> engineCoordinator(HostState &state, const Upstream &engine)
 {
-    const auto cached = state.keepers.keepers.find(engine.id);
-    if (cached != state.keepers.keepers.end())
+    const auto cached = state.coordination.coordinators.find(engine.id);
+    if (cached != state.coordination.coordinators.end())
         return cached->second;
-    const bool isAlone = engine.zone == state.self.zone && state.keepers.candidate.size() == 1
-            && state.keepers.candidate.front() == state.self.id;
+    const bool isAlone = engine.zone == state.self.zone
+            && state.coordination.candidateHosts.size() == 1
+            && state.coordination.candidateHosts.front() == state.self.id;
     if (isAlone)
-        return state.self.id; // also while leaving: there is no other to serve what still comes
-    std::optional<HostId> keeper = keeperOf(state.membership, state.self.id, state.self.zone,
-                                            isSelfLeaving(state), engine.id, engine.zone);
-    if (keeper && !isZoneWithoutHosts(state, engine.zone)) {
-        const auto peer = state.membership.peers.find(*keeper);
+        return state.self.id; // also while leaving: no other host can serve remaining requests
+    std::optional<HostId> coordinator = coordinatorOf(state.membership, state.self.id,
+                                                      state.self.zone, isSelfLeaving(state),
+                                                      engine.id, engine.zone);
+    if (coordinator && !isZoneWithoutHosts(state, engine.zone)) {
+        const auto peer = state.membership.peers.find(*coordinator);
         const ZoneId &zone = peer == state.membership.peers.end() ? state.self.zone
                                                                   : peer->second.zone;
-        // A host of another zone cannot know whether the zone's own hosts are gone or only cut off.
+        // A host of another zone can't know whether the zone's own hosts are gone or only
+        // disconnected.
         if (zone != engine.zone)
-            keeper = std::nullopt;
+            coordinator = std::nullopt;
     }
-    state.keepers.keepers[engine.id] = keeper;
-    return keeper;
+    state.coordination.coordinators[engine.id] = coordinator;
+    return coordinator;
 }
 
 bool mayGrant(HostState &state, const Upstream &engine, Instant now)
 {
-    if (state.process == ProcessState::Starting || now < state.keepers.listenUntil)
+    if (state.process == ProcessState::Starting || now < state.coordination.listenUntil)
         return false;
     if (engine.zone != state.self.zone)
         return isZoneWithoutHosts(state, engine.zone)
-                && engineKeeper(state, engine) == state.self.id;
-    return isBestOf(state, state.keepers.views.adopted, engine.id)
-            && isBestOf(state, state.keepers.candidate, engine.id);
+                && engineCoordinator(state, engine) == state.self.id;
+    return isSelfCoordinatorAmong(state, state.coordination.views.adoptedHosts, engine.id)
+            && isSelfCoordinatorAmong(state, state.coordination.candidateHosts, engine.id);
 }
 
-bool mayEvict(const HostState &state, const KeptEngine &kept, const Upstream &engine, Instant now)
+bool mayEvict(const HostState &state, const CoordinatedEngine &engineState, const Upstream &engine,
+              Instant now)
 {
     if (engine.zone != state.self.zone)
-        return false; // kept from another zone: nobody could promise to leave it alone
-    return state.keepers.isComplete && now >= kept.evictFrom && kept.isQuiet;
+        return false; // coordinated from another zone: no promises exist there
+    return state.coordination.hasAllPromises && now >= engineState.evictionAllowedFrom
+            && engineState.hasNoUnknownRequests;
 }
 
 std::size_t listedHosts(const HostState &state)
--- a/packages/host/src/peers.cpp
+++ b/packages/host/src/peers.cpp
@@ -7,17 +7,17 @@
 void onHeartbeat(Step &step, const PeerMessage &message, const Heartbeat &beat)
 {
     HostState &state = step.state;
-    if (!noteHeartbeat(state.membership, state.charts.peer, message.sender, message.incarnation,
-                       beat, step.now)) {
+    if (!recordHeartbeat(state.membership, state.charts.peer, message.sender, message.incarnation,
+                         beat, step.now)) {
         ++state.counters.staleMessages;
         return;
     }
     state.fencing = std::max(state.fencing, beat.highestFencing);
-    noteKeeperPromise(step, message.sender, message.incarnation, beat);
-    onHostSeen(step, message.sender, message.incarnation, SeatId{ beat.zone, beat.seat });
-    noteSummaries(step, beat.engines);
-    noteNews(step, beat.newsAge);
-    askForTickets(step, message.sender, beat.ticket);
+    recordViewPromise(step, message.sender, message.incarnation, beat);
+    onHostHeartbeat(step, message.sender, message.incarnation, SeatId{ beat.zone, beat.seat });
+    recordSummaries(step, beat.engines);
+    recordUpdateAge(step, beat.updateAge);
+    requestTickets(step, message.sender, beat.ticket);
 }
 
 struct BodyHandler
@@ -137,13 +137,13 @@
 void onHostList(Step &step, const HostListRead &event)
 {
     HostState &state = step.state;
-    state.keepers.isListRead = state.keepers.isListRead || !event.hosts.empty();
-    noteListRead(step);
+    state.coordination.hasHostList = state.coordination.hasHostList || !event.hosts.empty();
+    recordHostListRead(step);
     applyHostList(state.membership, state.charts.peer, state.self.id, event.hosts);
     for (const ListedUpstream &listed : event.upstreams) {
-        const UpstreamEvent word = listed.isLeaving ? UpstreamEvent::ListedLeaving
-                                                    : UpstreamEvent::ListedLive;
-        setUpstreamState(step, listed.id, word);
+        const UpstreamEvent listedEvent = listed.isLeaving ? UpstreamEvent::ListedLeaving
+                                                           : UpstreamEvent::ListedLive;
+        setUpstreamState(step, listed.id, listedEvent);
     }
 }
 
--- a/packages/host/src/requests.cpp
+++ b/packages/host/src/requests.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/// A request that its customer's rate can admit within this time waits instead of being refused.
-constexpr Span longestTokenWait = fromSeconds(2);
-/// Tells callers when to come back where nothing better is known.
+/// Maximum time a request waits for its customer's rate; if the expected wait is longer, it is
+/// refused at once.
+constexpr Span maxTokenWait = fromSeconds(2);
+/// Retry-After sent to callers if no better estimate is known.
 constexpr Span defaultRetryAfter = fromSeconds(1);
 
 } // namespace
@@ -19,9 +20,9 @@
     return found == state.requests.end() ? nullptr : &found->second;
 }
 
-Tokens costOf(const RequestArrived &asked)
+Tokens costOf(const RequestArrived &arrival)
 {
-    return asked.promptTokens + asked.mostGenerated;
+    return arrival.promptTokens + arrival.mostGenerated;
 }
 
 namespace {
@@ -37,34 +38,35 @@
 
 void releaseSlot(Step &step, const RequestRecord &record, Tokens used)
 {
-    if (record.asked.kind == RequestKind::Completion && !record.upstream.value.empty())
-        sendTo(step, record.keeper,
-               SlotRelease{ record.asked.request, record.upstream, used, record.round,
+    if (record.arrival.kind == RequestKind::Completion && !record.upstream.value.empty())
+        sendTo(step, record.coordinator,
+               SlotRelease{ record.arrival.request, record.upstream, used, record.round,
                             record.isCancelled });
 }
 
-/// Closes the attempt's connection and tells the upstream to stop. After a lost slot, what the
-/// caller has stays, and the rest is made elsewhere once the attempt's end has told how far it
-/// came. Going on without the slot would be quicker, but the keeper no longer holds the adapter for
-/// it.
+/// Closes the attempt's connection and requests cancellation at the upstream. After a lost slot the
+/// caller keeps the tokens it has, and another attempt generates the rest once the end of this one
+/// has shown how many tokens were forwarded. Continuing without the slot would be quicker, but the
+/// coordinator no longer pins the adapter for it.
 void cancelAttempt(Step &step, RequestRecord &record)
 {
     record.isCancelled = true;
     const auto upstream = step.state.inForce.upstreams.find(record.upstream);
     const bool isKnown = upstream != step.state.inForce.upstreams.end();
     const std::string address = isKnown ? upstream->second.address : std::string{};
-    step.actions.emplace_back(CancelAttempt{ record.asked.request, record.upstream, address });
+    step.actions.emplace_back(CancelAttempt{ record.arrival.request, record.upstream, address });
 }
 
 void endRequest(Step &step, RequestRecord &record)
 {
     HostState &state = step.state;
-    noteUnrouted(step, record);
-    if (needsPermit(record)) // where nothing was said before, only a call never sent is "not run"
+    uncountRouted(step, record);
+    // unless an outcome was reported before, only a call never sent is "not run"
+    if (needsPermit(record))
         settleCall(step, record, record.attempt == 0 ? CallOutcome::NotRun : CallOutcome::Unknown);
-    releaseSlot(step, record, record.asked.promptTokens + record.generated);
-    release(state.shares, record.asked.request, step.now);
-    const RequestId id = record.asked.request; // a copy: the record holds the original
+    releaseSlot(step, record, record.arrival.promptTokens + record.generated);
+    release(state.shares, record.arrival.request, step.now);
+    const RequestId id = record.arrival.request; // a copy: the record holds the original
     std::erase(state.waitingForTokens, id);
     state.requests.erase(id);
 }
@@ -76,7 +78,7 @@
     else if (needsPermit(record))
         settleCall(step, record, CallOutcome::Unknown);
     const bool isUntrue = runState == RunState::NotRun && record.mayHaveRun;
-    refuse(step, record.asked.request, code, isUntrue ? RunState::Unknown : runState,
+    refuse(step, record.arrival.request, code, isUntrue ? RunState::Unknown : runState,
            defaultRetryAfter);
     endRequest(step, record);
 }
@@ -93,13 +95,13 @@
     ++record.attempt;
     record.dispatchedAt = step.now;
     record.resumedFrom = record.generated;
-    record.isPaceSeen = false;
+    record.isStreamRateRecorded = false;
     ++state.counters.dispatched;
     if (record.generated.count > 0)
         ++state.counters.resumed;
     if (record.attempt == 1)
-        settle(state.shares, record.asked.request, record.asked.promptTokens, step.now);
-    step.actions.emplace_back(Dispatch{ record.asked.request, record.attempt, record.upstream,
+        settle(state.shares, record.arrival.request, record.arrival.promptTokens, step.now);
+    step.actions.emplace_back(Dispatch{ record.arrival.request, record.attempt, record.upstream,
                                         upstream->second.address, record.generated,
                                         record.isIdempotent, notAfter });
 }
@@ -112,13 +114,13 @@
         return;
     }
     const Instant sendBefore = needsPermit(record) ? permitEnd(step, record)
-                                                   : record.asked.deadline;
+                                                   : record.arrival.deadline;
     if (sendBefore <= step.now) {
         endRefused(step, record, ResultCode::WaitedTooLong, RunState::NotRun);
         return;
     }
     record.upstream = *backEnd;
-    noteRouted(step, record);
+    countRouted(step, record);
     dispatch(step, record, sendBefore);
 }
 
@@ -128,18 +130,18 @@
 {
     countFirstTry(step.state.retryBudget);
     if (needsPermit(record))
-        seekPermit(step, record);
-    else if (record.asked.kind == RequestKind::ServiceCall)
+        requestPermit(step, record);
+    else if (record.arrival.kind == RequestKind::ServiceCall)
         callService(step, record);
     else
-        seekSlot(step, record);
+        requestSlot(step, record);
 }
 
 void refuseOverRate(Step &step, RequestRecord &record, Instant expected)
 {
     const Span wait = expected == never ? defaultRetryAfter : expected - step.now;
     const RunState runState = needsPermit(record) ? runStateUnsent(step, record) : RunState::NotRun;
-    refuse(step, record.asked.request, ResultCode::RateExceeded, runState,
+    refuse(step, record.arrival.request, ResultCode::RateExceeded, runState,
            std::max(wait, defaultRetryAfter));
     endRequest(step, record);
 }
@@ -147,34 +149,34 @@
 /// Starts the request if the customer's rate admits it now.
 bool tryAdmit(Step &step, RequestRecord &record)
 {
-    if (!reserve(step.state.shares, record.asked.request, record.customer, costOf(record.asked),
+    if (!reserve(step.state.shares, record.arrival.request, record.customer, costOf(record.arrival),
                  step.now))
         return false;
     start(step, record);
     return true;
 }
 
-/// Starts the request, lets it wait for tokens that are to come soon, or refuses it.
+/// Starts the request, queues it if its tokens are expected in time, or refuses it.
 void admitOrWait(Step &step, RequestRecord &record)
 {
     HostState &state = step.state;
     const CustomerId customer = record.customer; // a copy: the record may end below
     const Tokens ahead = waitingTokens(state, customer);
-    // In order within a customer: a small request must not overtake a large one for ever.
+    // Requests of a customer are admitted in order: small requests must not starve a large one.
     if (ahead.count == 0 && tryAdmit(step, record))
         return;
-    const Tokens cost = costOf(record.asked);
+    const Tokens cost = costOf(record.arrival);
     const Instant expected = expectedAt(state.shares, customer, cost, step.now);
-    record.tokensBy = std::min(step.now + longestTokenWait, record.asked.deadline);
-    if (expected > record.tokensBy) {
+    record.tokenDeadline = std::min(step.now + maxTokenWait, record.arrival.deadline);
+    if (expected > record.tokenDeadline) {
         refuseOverRate(step, record, expected);
         return;
     }
-    state.waitingForTokens.push_back(record.asked.request);
-    seekCustomerTokens(step, customer, ahead + cost);
+    state.waitingForTokens.push_back(record.arrival.request);
+    requestCustomerTokens(step, customer, ahead + cost);
 }
 
-/// A call with a number may have run for an earlier request; "not run" would make its caller send
+/// A call with a number may have run for an earlier request. "Not run" would make the caller send
 /// it under a new number, and it would run twice.
 RunState runStateAtArrival(const RequestArrived &event)
 {
@@ -211,7 +213,7 @@
         return;
     }
     RequestRecord record;
-    record.asked = event;
+    record.arrival = event;
     record.customer = customer.value()->id;
     if (event.kind == RequestKind::Completion) {
         const Result<AdapterView> adapter = adapterFor(state.inForce, record.customer,
@@ -237,8 +239,8 @@
         refuse(step, event.request, ResultCode::NoShare, unsent, defaultRetryAfter);
         return;
     }
-    RequestRecord &kept = state.requests[event.request] = std::move(record);
-    admitOrWait(step, kept);
+    RequestRecord &stored = state.requests[event.request] = std::move(record);
+    admitOrWait(step, stored);
 }
 
 void admitWaiting(Step &step)
@@ -254,16 +256,16 @@
         const bool isBehind = stillWaiting[customer].count > 0;
         if (!isBehind && tryAdmit(step, *record))
             continue;
-        if (record->tokensBy <= step.now) {
+        if (record->tokenDeadline <= step.now) {
             refuseOverRate(step, *record,
-                           expectedAt(state.shares, customer, costOf(record->asked), step.now));
+                           expectedAt(state.shares, customer, costOf(record->arrival), step.now));
             continue;
         }
-        stillWaiting[customer] += costOf(record->asked);
+        stillWaiting[customer] += costOf(record->arrival);
         state.waitingForTokens.push_back(id);
     }
     for (const auto &[customer, tokens] : stillWaiting)
-        seekCustomerTokens(step, customer, tokens);
+        requestCustomerTokens(step, customer, tokens);
 }
 
 void endOverdue(Step &step, const RequestId &request)
@@ -273,7 +275,7 @@
         return;
     const bool isRunning = record->phase == RequestPhase::Running;
     if (isRunning && !record->isIdempotent) {
-        // A call that was sent can't be taken back; it makes no tokens beyond its prompt.
+        // A call that was sent can't be cancelled; it uses no tokens beyond its prompt.
         release(step.state.shares, request, step.now);
         return;
     }
@@ -288,7 +290,7 @@
     HostState &state = step.state;
     std::vector<RequestId> expired;
     for (const auto &[id, record] : state.requests) {
-        if (record.phase != RequestPhase::Running && record.asked.deadline <= step.now)
+        if (record.phase != RequestPhase::Running && record.arrival.deadline <= step.now)
             expired.push_back(id);
     }
     for (const RequestId &id : expired)
@@ -296,14 +298,14 @@
     endEjections(step);
 }
 
-/// Whether \a upstream may get new work now, by ticket and by the platform's list.
 void onCallerLeft(Step &step, const CallerLeft &event)
 {
     RequestRecord *record = recordOf(step.state, event.request);
     if (!record)
         return;
     if (record->phase == RequestPhase::Running && needsPermit(*record)) {
-        record->isCallerGone = true; // the call goes on: its outcome answers the caller's repeat
+        // the call continues: its outcome answers the caller's repeat
+        record->hasCallerDisconnected = true;
         return;
     }
     if (record->phase == RequestPhase::Running)
@@ -314,21 +316,21 @@
 
 namespace {
 
-/// Ok, or why the tickets in force end the request. A retired adapter ends what waits for it; a
-/// stream that runs on it is its caller's to the end.
-ResultCode standingOf(const HostState &state, const RequestRecord &record)
+/// Ok, or why the tickets in force end the request. A retired adapter ends requests that wait for
+/// it; streams that already run on it continue to their end.
+ResultCode reasonToEnd(const HostState &state, const RequestRecord &record)
 {
-    const Result<const Customer *> customer = customerOf(state.inForce, record.asked.key);
+    const Result<const Customer *> customer = customerOf(state.inForce, record.arrival.key);
     if (!customer)
         return customer.error().code;
     if (customer.value()->id != record.customer)
         return ResultCode::KeyUnknown;
-    const bool isWaitingForEngine = record.asked.kind == RequestKind::Completion
+    const bool isWaitingForEngine = record.arrival.kind == RequestKind::Completion
             && record.phase != RequestPhase::Running && record.generated.count == 0;
     if (!isWaitingForEngine)
         return ResultCode::Ok;
     const Result<AdapterView> adapter = adapterFor(state.inForce, record.customer,
-                                                   record.asked.adapter);
+                                                   record.arrival.adapter);
     return adapter ? ResultCode::Ok : adapter.error().code;
 }
 
@@ -339,9 +341,9 @@
     HostState &state = step.state;
     setUpstreams(state.routing, state.inForce.upstreams, state.self.zone);
     std::vector<std::pair<RequestId, ResultCode>> ended;
-    if (std::exchange(state.tickets.isScanDue, false)) {
+    if (std::exchange(state.tickets.isRequestScanDue, false)) {
         for (const auto &[id, record] : state.requests) {
-            const ResultCode code = standingOf(state, record);
+            const ResultCode code = reasonToEnd(state, record);
             if (code != ResultCode::Ok)
                 ended.emplace_back(id, code);
         }
@@ -350,8 +352,7 @@
         RequestRecord &record = state.requests.at(id);
         const bool isRunning = record.phase == RequestPhase::Running;
         if (isRunning && !record.isIdempotent)
-            continue; // a filing that was sent cannot be taken back; its answer is still the
-                      // caller's
+            continue; // a call that was sent can't be cancelled; the caller still gets its answer
         if (isRunning)
             cancelAttempt(step, record);
         endRefused(step, record, code, isRunning ? RunState::Ran : RunState::NotRun);
--- a/packages/host/src/shares.cpp
+++ b/packages/host/src/shares.cpp
@@ -41,12 +41,12 @@
     setTerms(step.state.shares, inForce.ticket, zones, terms, step.now);
 }
 
-void onHostSeen(Step &step, const HostId &host, Incarnation incarnation, const SeatId &seat)
+void onHostHeartbeat(Step &step, const HostId &host, Incarnation incarnation, const SeatId &seat)
 {
     const auto peer = step.state.membership.peers.find(host);
     const bool isKnown = peer != step.state.membership.peers.end();
     noteSeat(step.state.shares, seat, HostLife{ host, incarnation }, step.now,
-             isKnown ? peer->second.lateness : Span{});
+             isKnown ? peer->second.suspectTimeout : Span{});
 }
 
 void onShareBody(Step &step, const PeerMessage &message, const ShareBody &body)
@@ -60,7 +60,7 @@
         admitWaiting(step);
 }
 
-void seekCustomerTokens(Step &step, const CustomerId &customer, Tokens waiting)
+void requestCustomerTokens(Step &step, const CustomerId &customer, Tokens waiting)
 {
     std::vector<ShareOutgoing> out;
     seekTokens(step.state.shares, customer, waiting, step.now, out);
@@ -73,7 +73,7 @@
     return found == state.shares.customers.end() ? Tokens{} : found->second.waiting;
 }
 
-void tendHostShares(Step &step)
+void updateHostShares(Step &step)
 {
     std::vector<ShareOutgoing> out;
     tendShares(step.state.shares, step.now, out);
--- a/packages/host/src/slot_requests.cpp
+++ b/packages/host/src/slot_requests.cpp
@@ -6,22 +6,24 @@
 
 namespace {
 
-/// The asker's lease is cut by this share for clocks that run at different rates (200 ppm is the
-/// worst that quartz does; a hundred times that costs a tenth of a second of a ten-second lease).
+/// Fraction by which the requester shortens a lease, to allow for clock drift. Quartz clocks drift
+/// by at most 200 ppm; a hundred times that costs a tenth of a second of a ten-second lease.
 constexpr double leaseDriftMargin = 0.02;
-/// Keepers that are asked for one request. One keeper's queue being too long says nothing of the
-/// others; at four times the capacity three asks keep the shares of customers whose adapters are on
-/// few engines (docs/DECISIONS.md).
-constexpr std::uint32_t mostAsks = 3;
-/// A waiting ask is repeated this often: it, or the grant, can have been lost.
-constexpr Span askInterval = fromSeconds(1);
-/// Up to four seconds between asks: one message a second for each waiting request was half of what
-/// a node sent while adapters were being loaded.
-constexpr std::uint32_t mostAskDoublings = 2;
-/// When a host that no longer keeps the engine said so; by then the views have moved on.
-constexpr Span askAgainSoon = fromSeconds(0.1);
-
-/// When a lease that the keeper counts from `basis` ends here.
+/// Maximum number of coordinators from which a slot is requested for one request. A long queue at
+/// one coordinator says nothing about the others; at four times the capacity, three requests
+/// preserve the shares of customers whose adapters are on few engines (docs/DECISIONS.md).
+constexpr std::uint32_t maxCoordinatorsTried = 3;
+/// Interval at which an unanswered slot request is repeated: it, or the grant, may have been lost.
+constexpr Span slotRequestInterval = fromSeconds(1);
+/// The interval doubles this many times, up to 4 s: one message a second for each waiting request
+/// was half of what a node sent while adapters were being loaded.
+constexpr std::uint32_t maxIntervalDoublings = 2;
+/// Delay before a slot request is repeated after a host answered that it no longer coordinates the
+/// engine; by then the views have been updated.
+constexpr Span movedEngineRetryDelay = fromSeconds(0.1);
+
+/// When a lease that the coordinator counts from `basis` ends at this host; 0 if the serial is not
+/// known.
 Instant leaseEnd(const HostState &state, std::uint64_t basis, Span length)
 {
     const auto sent = state.serialSentAt.find(basis);
@@ -30,41 +32,45 @@
     return sent->second + length - fromSeconds(toSeconds(length) * leaseDriftMargin);
 }
 
-void sendAsk(Step &step, RequestRecord &record)
+void sendSlotRequest(Step &step, RequestRecord &record)
 {
     HostState &state = step.state;
     const auto customer = state.inForce.customers.find(record.customer);
-    record.askAgainAt = step.now + askInterval * (1LL << std::min(record.asks, mostAskDoublings));
-    ++record.asks;
+    record.nextRequestAt = step.now
+            + slotRequestInterval * (1LL << std::min(record.requestsSent, maxIntervalDoublings));
+    ++record.requestsSent;
     SlotAsk ask;
-    ask.request = record.asked.request;
+    ask.request = record.arrival.request;
     ask.engine = record.upstream;
-    ask.adapter = record.asked.adapter;
+    ask.adapter = record.arrival.adapter;
     ask.customer = record.customer;
-    ask.cost = costOf(record.asked);
+    ask.cost = costOf(record.arrival);
     ask.weight = customer == state.inForce.customers.end() ? 1.0 : customer->second.weight;
-    ask.untilDeadline = record.asked.deadline - step.now;
+    ask.untilDeadline = record.arrival.deadline - step.now;
     ask.serial = nextSerial(step);
     ask.round = record.round;
-    sendTo(step, record.keeper, ask);
+    sendTo(step, record.coordinator, ask);
 }
 
-/// The best engine whose zone has a host to keep it, with that host.
-std::optional<std::pair<UpstreamId, HostId>> chooseKept(Step &step, RequestRecord &record)
+/// The best engine that has a coordinator, with that host.
+std::optional<std::pair<UpstreamId, HostId>> chooseCoordinatedEngine(Step &step,
+                                                                     RequestRecord &record)
 {
     std::optional<std::pair<UpstreamId, HostId>> chosen;
-    const std::size_t failed = record.failedAt.size();
+    const std::size_t failed = record.excludedUpstreams.size();
     while (const std::optional<UpstreamId> engine = chooseFor(step, record)) {
         const auto upstream = step.state.inForce.upstreams.find(*engine);
         if (upstream == step.state.inForce.upstreams.end())
             break;
-        if (const std::optional<HostId> keeper = engineKeeper(step.state, upstream->second)) {
-            chosen.emplace(*engine, *keeper);
+        if (const std::optional<HostId> coordinator = engineCoordinator(step.state,
+                                                                        upstream->second)) {
+            chosen.emplace(*engine, *coordinator);
             break;
         }
-        record.failedAt.push_back(*engine); // only for this choice: its zone may be back soon
+        // excluded only from this choice: its zone may be back soon
+        record.excludedUpstreams.push_back(*engine);
     }
-    record.failedAt.resize(failed);
+    record.excludedUpstreams.resize(failed);
     return chosen;
 }
 
@@ -78,33 +84,33 @@
 
 } // namespace
 
-/// Asks a keeper for a slot; \a ifNone is the answer where no engine is left to ask.
-void seekSlot(Step &step, RequestRecord &record, ResultCode ifNone)
+void requestSlot(Step &step, RequestRecord &record, ResultCode ifNone)
 {
     record.phase = RequestPhase::WaitingForSlot;
     record.isCancelled = false;
     ++record.round;
-    record.asks = 0;
-    const std::optional<std::pair<UpstreamId, HostId>> chosen = chooseKept(step, record);
+    record.requestsSent = 0;
+    const std::optional<std::pair<UpstreamId, HostId>> chosen = chooseCoordinatedEngine(step,
+                                                                                        record);
     if (!chosen) {
         record.upstream = UpstreamId{};
         endRefused(step, record, ifNone, RunState::NotRun);
         return;
     }
     record.upstream = chosen->first;
-    noteRouted(step, record);
-    record.keeper = chosen->second;
-    sendAsk(step, record);
+    countRouted(step, record);
+    record.coordinator = chosen->second;
+    sendSlotRequest(step, record);
 }
 
 namespace {
 
-/// Gives the slot back, or leaves the queue, and looks for another.
-void seekAnew(Step &step, RequestRecord &record)
+/// Releases the slot or the place in the queue, and requests another slot.
+void requestOtherSlot(Step &step, RequestRecord &record)
 {
     releaseSlot(step, record, Tokens{});
-    noteUnrouted(step, record);
-    seekSlot(step, record);
+    uncountRouted(step, record);
+    requestSlot(step, record);
 }
 
 } // namespace
@@ -120,54 +126,55 @@
     return serial;
 }
 
-void onSlotGrant(Step &step, const HostId &keeper, const SlotGrant &grant)
+void onSlotGrant(Step &step, const HostId &coordinator, const SlotGrant &grant)
 {
     RequestRecord *record = recordOf(step.state, grant.request);
-    const bool isOurs = record && record->round == grant.round && record->keeper == keeper
+    const bool isOurs = record && record->round == grant.round && record->coordinator == coordinator
             && record->upstream == grant.engine;
     if (isOurs && record->phase == RequestPhase::Running)
-        return; // a doubled message; the slot is in use
+        return; // a duplicate message; the slot is in use
     if (!isOurs || record->phase != RequestPhase::WaitingForSlot) {
-        // The caller has gone, or the request went elsewhere: only its sender holds this slot.
-        sendTo(step, keeper,
+        // The caller has disconnected, or the request went to another engine. The grant must be
+        // released, since no other host uses it.
+        sendTo(step, coordinator,
                SlotRelease{ grant.request, grant.engine, Tokens{}, grant.round, false });
         return;
     }
-    // Checked at the moment of dispatch: a process that was stopped since the grant must not use
+    // Checked at the moment of dispatch: a process that was suspended since the grant must not use
     // it, and the upstream may have been marked leaving while the request waited.
     const Instant ends = leaseEnd(step.state, grant.basis, grant.leaseLength);
     const bool isLate = ends <= step.now;
     if (isLate || isLeavingNow(step.state, record->upstream)) {
         countRetry(step.state.counters, RetryReason::SlotLost);
-        seekAnew(step, *record);
+        requestOtherSlot(step, *record);
         return;
     }
     record->leaseEnds = ends;
     dispatch(step, *record, ends);
 }
 
-void onSlotRefusal(Step &step, const HostId &keeper, const SlotRefusal &refusal)
+void onSlotRefusal(Step &step, const HostId &coordinator, const SlotRefusal &refusal)
 {
     RequestRecord *record = recordOf(step.state, refusal.request);
     if (!record || record->phase != RequestPhase::WaitingForSlot || record->round != refusal.round
-        || record->upstream != refusal.engine || record->keeper != keeper)
+        || record->upstream != refusal.engine || record->coordinator != coordinator)
         return;
     if (refusal.code == ResultCode::SlotLost) {
-        record->askAgainAt = std::min(record->askAgainAt, step.now + askAgainSoon);
+        record->nextRequestAt = std::min(record->nextRequestAt, step.now + movedEngineRetryDelay);
         return;
     }
-    noteUnrouted(step, *record);
+    uncountRouted(step, *record);
     const bool isFull = refusal.code == ResultCode::QueueFull
             || refusal.code == ResultCode::DeadlineUnreachable;
-    if (!isFull || ++record->refusedAsks >= mostAsks) {
+    if (!isFull || ++record->slotRefusals >= maxCoordinatorsTried) {
         endRefused(step, *record, refusal.code, RunState::NotRun);
         return;
     }
-    record->failedAt.push_back(refusal.engine);
-    seekSlot(step, *record, refusal.code);
+    record->excludedUpstreams.push_back(refusal.engine);
+    requestSlot(step, *record, refusal.code);
 }
 
-void askAgain(Step &step)
+void resendSlotRequests(Step &step)
 {
     HostState &state = step.state;
     std::vector<RequestId> due;
@@ -176,22 +183,22 @@
             continue;
         const auto engine = state.inForce.upstreams.find(record.upstream);
         const bool hasMoved = engine == state.inForce.upstreams.end()
-                || engineKeeper(state, engine->second) != record.keeper;
-        if (hasMoved || record.askAgainAt <= step.now)
+                || engineCoordinator(state, engine->second) != record.coordinator;
+        if (hasMoved || record.nextRequestAt <= step.now)
             due.push_back(id);
     }
     for (const RequestId &id : due) {
         RequestRecord &record = state.requests.at(id);
         const auto engine = state.inForce.upstreams.find(record.upstream);
-        const std::optional<HostId> keeper = engine == state.inForce.upstreams.end()
+        const std::optional<HostId> coordinator = engine == state.inForce.upstreams.end()
                 ? std::nullopt
-                : engineKeeper(state, engine->second);
-        if (keeper == record.keeper && !isLeavingNow(state, record.upstream)) {
-            sendAsk(step, record);
+                : engineCoordinator(state, engine->second);
+        if (coordinator == record.coordinator && !isLeavingNow(state, record.upstream)) {
+            sendSlotRequest(step, record);
             continue;
         }
         countRetry(state.counters, RetryReason::SlotLost);
-        seekAnew(step, record);
+        requestOtherSlot(step, record);
     }
 }
 
@@ -199,19 +206,20 @@
 {
     for (auto &[id, record] : step.state.requests) {
         const bool isLost = record.phase == RequestPhase::Running && !record.isCancelled
-                && record.asked.kind == RequestKind::Completion && record.leaseEnds <= step.now;
+                && record.arrival.kind == RequestKind::Completion && record.leaseEnds <= step.now;
         if (isLost)
             cancelAttempt(step, record);
     }
 }
 
-void onSlotRenewed(Step &step, const HostId &keeper, const SlotRenewed &renewed)
+void onSlotRenewed(Step &step, const HostId &coordinator, const SlotRenewed &renewed)
 {
     const Instant ends = leaseEnd(step.state, renewed.basis, renewed.leaseLength);
     const std::set<RequestId> lost(renewed.lost.begin(), renewed.lost.end());
     for (auto &[id, record] : step.state.requests) {
-        const bool isMeant = record.phase == RequestPhase::Running && record.keeper == keeper
-                && record.upstream == renewed.engine && record.renewalSerial == renewed.basis;
+        const bool isMeant = record.phase == RequestPhase::Running
+                && record.coordinator == coordinator && record.upstream == renewed.engine
+                && record.renewalSerial == renewed.basis;
         if (isMeant && !lost.contains(id))
             record.leaseEnds = std::max(record.leaseEnds, ends);
         else if (isMeant && !record.isCancelled)
@@ -222,26 +230,27 @@
 void renewSlots(Step &step)
 {
     HostState &state = step.state;
-    std::map<std::pair<HostId, UpstreamId>, std::vector<RequestRecord *>> byKeeper;
+    std::map<std::pair<HostId, UpstreamId>, std::vector<RequestRecord *>> byCoordinator;
     for (auto &[id, record] : state.requests) {
         const bool isRunning = record.phase == RequestPhase::Running && !record.isCancelled;
-        if (record.asked.kind != RequestKind::Completion || !isRunning)
+        if (record.arrival.kind != RequestKind::Completion || !isRunning)
             continue;
         const auto engine = state.inForce.upstreams.find(record.upstream);
         if (engine == state.inForce.upstreams.end())
             continue;
-        // The keeper may have changed since the grant; the new one learns of the slot like this.
-        record.keeper = engineKeeper(state, engine->second).value_or(record.keeper);
-        byKeeper[{ record.keeper, record.upstream }].push_back(&record);
+        // The coordinator may have changed since the grant; this renewal registers the slot with
+        // the new one.
+        record.coordinator = engineCoordinator(state, engine->second).value_or(record.coordinator);
+        byCoordinator[{ record.coordinator, record.upstream }].push_back(&record);
     }
-    for (const auto &[where, records] : byKeeper) {
+    for (const auto &[where, records] : byCoordinator) {
         SlotRenewal renewal;
         renewal.engine = where.second;
         renewal.serial = nextSerial(step);
         for (RequestRecord *record : records) {
             record->renewalSerial = renewal.serial;
-            renewal.slots.push_back(RunningSlot{ record->asked.request, record->asked.adapter, true,
-                                                 record->round });
+            renewal.slots.push_back(RunningSlot{ record->arrival.request, record->arrival.adapter,
+                                                 true, record->round });
         }
         sendTo(step, where.first, std::move(renewal));
     }
