--- a/packages/host/src/tickets.cpp
+++ b/packages/host/src/tickets.cpp
@@ -8,17 +8,18 @@
 
 namespace {
 
-/// Tickets sent in answer to one ask; a host that is further behind asks again.
-constexpr std::size_t ticketsPerAnswer = 64;
-/// Kept for relay. At 22,000 a day this is the last 17 minutes; who missed more gets a snapshot.
-constexpr std::size_t mostLogged = 256;
-constexpr std::size_t mostLoggedBytes = 2U << 20;
-/// An ask that was not answered by then goes to the next peer that has something newer.
-constexpr Span askPatience = fromSeconds(0.3);
-constexpr std::uint32_t mostSegmentTries = 5;
-/// How long a fresh host that knows of other hosts waits to hear from one of them: three heartbeat
-/// intervals. Then all of them are taken for fresh or unreachable.
-constexpr Span joinPatience = fromSeconds(1.5);
+/// Maximum number of tickets sent in answer to one request; a host that lacks more requests again.
+constexpr std::size_t maxTicketsPerReply = 64;
+/// Maximum number of tickets kept for relaying. At 22,000 a day these are the last 17 minutes; a
+/// host that missed more gets a snapshot.
+constexpr std::size_t maxLoggedTickets = 256;
+constexpr std::size_t maxLoggedBytes = 2U << 20;
+/// Timeout of a request for tickets; the next request goes to the next peer that has newer ones.
+constexpr Span ticketRequestTimeout = fromSeconds(0.3);
+constexpr std::uint32_t maxSegmentRequests = 5;
+/// How long a newly started host that knows of other hosts waits for a heartbeat from them: three
+/// heartbeat intervals. After that, all of them are taken for new or unreachable.
+constexpr Span peerWaitTimeout = fromSeconds(1.5);
 
 void addText(TicketLog &log, TicketNumber number, const std::string &text)
 {
@@ -35,30 +36,34 @@
 
 bool isOverBound(const TicketLog &log)
 {
-    return log.texts.size() > mostLogged || (log.bytes > mostLoggedBytes && log.texts.size() > 1);
+    return log.texts.size() > maxLoggedTickets
+            || (log.bytes > maxLoggedBytes && log.texts.size() > 1);
 }
 
-/// Whether a ticket of the platform may be put in force. A fresh host knows nothing that could tell
-/// a stale service from a live one: it would bring old state back, with keys withdrawn since. Its
-/// peers know. It believes the platform only when they know nothing either or cannot be heard.
-bool mayBelievePlatform(const Step &step)
+/// Whether a ticket read from the platform may be put in force. A newly started host can't tell a
+/// stale configuration service from a current one; a stale one would restore old state with keys
+/// that were withdrawn since. Its peers have the newer state. It trusts the platform only if they
+/// are newly started as well or are unreachable.
+bool mayTrustPlatform(const Step &step)
 {
     const HostState &state = step.state;
     const TicketState &tickets = state.tickets;
-    if (state.inForce.ticket.value > 0 || !tickets.isListRead || tickets.isBelievingAtOnce)
+    if (state.inForce.ticket.value > 0 || !tickets.hasHostList || tickets.isTrustingPlatformAtOnce)
         return true;
     bool isEveryoneFresh = true;
     for (const auto &[id, peer] : state.membership.peers) {
-        const bool isHeard = peer.state == PeerState::Alive || peer.state == PeerState::Leaving;
-        if (isHeard && peer.incarnation.value > 0 && peer.ticket.value > 0)
+        const bool isReachable = peer.state == PeerState::Alive || peer.state == PeerState::Leaving;
+        if (isReachable && peer.incarnation.value > 0 && peer.ticket.value > 0)
             return false;
         isEveryoneFresh = isEveryoneFresh && peer.incarnation.value > 0;
     }
-    return isEveryoneFresh || step.now >= tickets.patienceEnds;
+    return isEveryoneFresh || step.now >= tickets.peerWaitDeadline;
 }
 
-/// Notes a refusal once for each text: the ticket is read again until it is corrected.
-void noteRefused(Step &step, TicketNumber number, const std::string &why, const std::string &text)
+/// Logs the rejection of a ticket once for each text: the ticket is read again until it is
+/// corrected.
+void recordRejectedTicket(Step &step, TicketNumber number, const std::string &why,
+                          const std::string &text)
 {
     TicketState &tickets = step.state.tickets;
     const bool isKnown = tickets.refused == number && tickets.refusedText == text;
@@ -71,9 +76,10 @@
     step.actions.emplace_back(TicketNoted{ number, false, why });
 }
 
-/// Whether requests that are on their way may have to end for \a ticket. Most tickets add keys and
-/// adapters, which ends nothing; to look at every open request for each of them would cost a host
-/// that is full. A key or adapter that is set again may be withdrawn, or another customer's now.
+/// Whether \a ticket may end requests in progress. Most tickets add keys and adapters, which ends
+/// nothing, and scanning every open request for each of them would be expensive on a host under
+/// full load. A key or adapter that is set again may have been withdrawn or given to another
+/// customer.
 bool mayEndRequests(const StateInForce &before, const Ticket &ticket)
 {
     const auto isKnownKey = [&before](const Key &key) {
@@ -87,17 +93,17 @@
             || std::any_of(ticket.adapters.begin(), ticket.adapters.end(), isKnownAdapter);
 }
 
-/// Puts \a ticket in force. False where it was refused.
+/// Puts \a ticket in force. Returns false if it was rejected.
 bool putInForce(Step &step, const Ticket &ticket, const std::string &text)
 {
     HostState &state = step.state;
     const bool mayEnd = mayEndRequests(state.inForce, ticket);
     const Result<TicketNumber> applied = applyTicket(state.inForce, ticket);
     if (!applied) {
-        noteRefused(step, ticket.number, applied.error().detail, text);
+        recordRejectedTicket(step, ticket.number, applied.error().detail, text);
         return false;
     }
-    state.tickets.isScanDue = state.tickets.isScanDue || mayEnd;
+    state.tickets.isRequestScanDue = state.tickets.isRequestScanDue || mayEnd;
     TicketLog &log = state.tickets.applied;
     addText(log, ticket.number, text);
     while (isOverBound(log))
@@ -106,25 +112,26 @@
     return true;
 }
 
-/// Applies the tickets that were read early and whose turn has come.
-void applyEarlyTickets(Step &step)
+/// Applies the tickets that were read early and whose predecessor is now in force.
+void applyConsecutiveTickets(Step &step)
 {
     HostState &state = step.state;
-    TicketLog &early = state.tickets.early;
+    TicketLog &pending = state.tickets.pending;
     while (true) {
-        const auto next = early.texts.find(TicketNumber{ state.inForce.ticket.value + 1 });
-        if (next == early.texts.end())
+        const auto next = pending.texts.find(TicketNumber{ state.inForce.ticket.value + 1 });
+        if (next == pending.texts.end())
             return;
         const std::string text = next->second;
-        eraseText(early, next);
+        eraseText(pending, next);
         const Result<Ticket> ticket = parseTicket(text);
         if (!ticket || !putInForce(step, ticket.value(), text))
             return;
     }
 }
 
-/// What follows from new state: requests of withdrawn keys end, the others hear of it at once.
-void stateChanged(Step &step)
+/// Handles new state in force: ends requests of withdrawn keys and notifies the other hosts at
+/// once.
+void onStateInForceChanged(Step &step)
 {
     HostState &state = step.state;
     if (state.tickets.refused <= state.inForce.ticket)
@@ -135,12 +142,12 @@
     sendHeartbeats(step);
 }
 
-void applyWhatMayBe(Step &step)
+void applyPendingTickets(Step &step)
 {
     const TicketNumber before = step.state.inForce.ticket;
-    applyEarlyTickets(step);
+    applyConsecutiveTickets(step);
     if (step.state.inForce.ticket != before)
-        stateChanged(step);
+        onStateInForceChanged(step);
 }
 
 void readTicket(Step &step, const std::string &text, bool isFromPeer)
@@ -148,43 +155,43 @@
     HostState &state = step.state;
     const Result<Ticket> ticket = parseTicket(text);
     if (!ticket) {
-        noteRefused(step, TicketNumber{ state.inForce.ticket.value + 1 }, ticket.error().detail,
-                    text);
+        recordRejectedTicket(step, TicketNumber{ state.inForce.ticket.value + 1 },
+                             ticket.error().detail, text);
         return;
     }
     if (ticket.value().number <= state.inForce.ticket)
-        return; // known already; an old value from a stale service changes nothing
-    TicketLog &early = state.tickets.early;
-    addText(early, ticket.value().number, text);
-    while (isOverBound(early)) // the furthest is read again when its turn comes
-        eraseText(early, std::prev(early.texts.end()));
-    if (isFromPeer || mayBelievePlatform(step))
-        applyWhatMayBe(step);
+        return; // known already; an old ticket from a stale service changes nothing
+    TicketLog &pending = state.tickets.pending;
+    addText(pending, ticket.value().number, text);
+    while (isOverBound(pending)) // the newest is read again when it is due
+        eraseText(pending, std::prev(pending.texts.end()));
+    if (isFromPeer || mayTrustPlatform(step))
+        applyPendingTickets(step);
 }
 
-/// Puts a whole snapshot in force.
+/// Puts a complete snapshot in force.
 void installSnapshot(Step &step, SnapshotAssembly snapshot)
 {
     HostState &state = step.state;
     TicketState &tickets = state.tickets;
     state.inForce = std::move(snapshot.state);
-    tickets.isScanDue = true;
+    tickets.isRequestScanDue = true;
     tickets.published = SnapshotAssembly{};
-    tickets.applied = TicketLog{}; // its tickets would not follow one another any more
-    while (!tickets.early.texts.empty()
-           && tickets.early.texts.begin()->first <= state.inForce.ticket)
-        eraseText(tickets.early, tickets.early.texts.begin());
+    tickets.applied = TicketLog{}; // its tickets would no longer be consecutive
+    while (!tickets.pending.texts.empty()
+           && tickets.pending.texts.begin()->first <= state.inForce.ticket)
+        eraseText(tickets.pending, tickets.pending.texts.begin());
     step.actions.emplace_back(TicketNoted{ state.inForce.ticket, true, "by snapshot" });
-    stateChanged(step);
-    applyWhatMayBe(step);
+    onStateInForceChanged(step);
+    applyPendingTickets(step);
 }
 
-/// Puts the platform's snapshot in force once it is whole and may be believed.
+/// Puts the platform's snapshot in force once it is complete and may be trusted.
 void installPublished(Step &step)
 {
     SnapshotAssembly &published = step.state.tickets.published;
     const bool isWhole = published.count > 0 && published.next == published.count;
-    if (isWhole && published.ticket > step.state.inForce.ticket && mayBelievePlatform(step))
+    if (isWhole && published.ticket > step.state.inForce.ticket && mayTrustPlatform(step))
         installSnapshot(step, std::exchange(published, SnapshotAssembly{}));
 }
 
@@ -193,59 +200,60 @@
     return tickets.assembly.next > 0 && tickets.assembly.next < tickets.assembly.count;
 }
 
-/// Asks once more for the segment that did not come. False where its sender is gone or keeps
-/// silent: what was read of its snapshot is dropped then.
-bool askAgainForSegment(Step &step)
+/// Requests the missing segment again. Returns false if its sender is unusable or did not answer
+/// maxSegmentRequests times; the incomplete snapshot is then discarded.
+bool requestSegmentAgain(Step &step)
 {
     TicketState &tickets = step.state.tickets;
-    ++tickets.snapshotTries;
-    const bool isThere = isUsable(step.state.membership, tickets.snapshotFrom);
-    if (!isThere || tickets.snapshotTries > mostSegmentTries) {
+    ++tickets.segmentRequests;
+    const bool isThere = isUsable(step.state.membership, tickets.snapshotSender);
+    if (!isThere || tickets.segmentRequests > maxSegmentRequests) {
         tickets.assembly = SnapshotAssembly{};
-        tickets.snapshotTries = 0;
+        tickets.segmentRequests = 0;
         return false;
     }
-    sendTo(step, tickets.snapshotFrom,
+    sendTo(step, tickets.snapshotSender,
            SnapshotAsk{ tickets.assembly.ticket, tickets.assembly.next });
     return true;
 }
 
 } // namespace
 
-void askForTickets(Step &step, const HostId &peer, TicketNumber peersTicket)
+void requestTickets(Step &step, const HostId &peer, TicketNumber peersTicket)
 {
     HostState &state = step.state;
-    if (peersTicket <= state.inForce.ticket || step.now < state.tickets.nextAsk)
+    if (peersTicket <= state.inForce.ticket || step.now < state.tickets.nextRequestAt)
         return;
-    state.tickets.nextAsk = step.now + askPatience;
-    if (isSnapshotUnderWay(state.tickets) && askAgainForSegment(step))
+    state.tickets.nextRequestAt = step.now + ticketRequestTimeout;
+    if (isSnapshotUnderWay(state.tickets) && requestSegmentAgain(step))
         return;
     sendTo(step, peer, TicketAsk{ state.inForce.ticket });
 }
 
-void onTicketAsk(Step &step, const HostId &asker, const TicketAsk &ask)
+void onTicketAsk(Step &step, const HostId &requester, const TicketAsk &ask)
 {
     const HostState &state = step.state;
     if (ask.after >= state.inForce.ticket)
         return;
     const auto &texts = state.tickets.applied.texts;
     auto entry = texts.find(TicketNumber{ ask.after.value + 1 });
-    if (entry == texts.end()) { // the log does not reach back so far
-        onSnapshotAsk(step, asker, SnapshotAsk{});
+    if (entry == texts.end()) { // the log does not reach back that far
+        onSnapshotAsk(step, requester, SnapshotAsk{});
         return;
     }
-    for (std::size_t sent = 0; entry != texts.end() && sent < ticketsPerAnswer; ++entry, ++sent)
-        sendTo(step, asker, TicketPush{ entry->first, entry->second });
+    for (std::size_t sent = 0; entry != texts.end() && sent < maxTicketsPerReply; ++entry, ++sent)
+        sendTo(step, requester, TicketPush{ entry->first, entry->second });
 }
 
-void onSnapshotAsk(Step &step, const HostId &asker, const SnapshotAsk &ask)
+void onSnapshotAsk(Step &step, const HostId &requester, const SnapshotAsk &ask)
 {
     const StateInForce &inForce = step.state.inForce;
-    // After a newer ticket the rest of an old snapshot is gone: the asker begins anew.
+    // After a newer ticket the old snapshot is no longer available: the requester starts over.
     const std::uint32_t segment = ask.ticket == inForce.ticket ? ask.segment : 0;
     if (inForce.ticket.value == 0 || segment >= segmentCount(inForce))
         return;
-    sendTo(step, asker, SnapshotPart{ inForce.ticket, segment, writeSegment(inForce, segment) });
+    sendTo(step, requester,
+           SnapshotPart{ inForce.ticket, segment, writeSegment(inForce, segment) });
 }
 
 void onSnapshotPart(Step &step, const HostId &sender, const SnapshotPart &part)
@@ -254,17 +262,17 @@
     TicketState &tickets = state.tickets;
     if (part.ticket <= state.inForce.ticket)
         return;
-    // Two senders' records stand in different orders: one at a time.
-    if (isSnapshotUnderWay(tickets) && sender != tickets.snapshotFrom)
+    // Two senders' records are in different orders, so only one sender is used at a time.
+    if (isSnapshotUnderWay(tickets) && sender != tickets.snapshotSender)
         return;
     const Result<SnapshotSegment> segment = parseSegment(part.text);
     if (!segment) {
-        noteRefused(step, part.ticket, segment.error().detail, {});
+        recordRejectedTicket(step, part.ticket, segment.error().detail, {});
         return;
     }
     if (segment.value().number == 0)
-        tickets.snapshotFrom = sender;
-    if (sender != tickets.snapshotFrom)
+        tickets.snapshotSender = sender;
+    if (sender != tickets.snapshotSender)
         return;
     const std::uint32_t before = tickets.assembly.next;
     if (addSegment(tickets.assembly, segment.value())) {
@@ -274,8 +282,8 @@
     const bool isNew = tickets.assembly.next != before || segment.value().number == 0;
     if (!isNew)
         return;
-    tickets.nextAsk = step.now + askPatience;
-    tickets.snapshotTries = 0;
+    tickets.nextRequestAt = step.now + ticketRequestTimeout;
+    tickets.segmentRequests = 0;
     sendTo(step, sender, SnapshotAsk{ tickets.assembly.ticket, tickets.assembly.next });
 }
 
@@ -283,8 +291,8 @@
 {
     const Result<SnapshotSegment> segment = parseSegment(text);
     if (!segment) {
-        noteRefused(step, TicketNumber{ step.state.inForce.ticket.value + 1 },
-                    segment.error().detail, text);
+        recordRejectedTicket(step, TicketNumber{ step.state.inForce.ticket.value + 1 },
+                             segment.error().detail, text);
         return;
     }
     addSegment(step.state.tickets.published, segment.value());
@@ -301,37 +309,38 @@
     readTicket(step, push.text, true);
 }
 
-void notePlatformHeard(Step &step)
+void recordPlatformResponse(Step &step)
 {
-    step.state.tickets.newsAt = step.now;
+    step.state.tickets.lastUpdateAt = step.now;
 }
 
-void noteNews(Step &step, Span age)
+void recordUpdateAge(Step &step, Span age)
 {
-    if (age == noNews)
+    if (age == noUpdateReceived)
         return;
-    std::optional<Instant> &newsAt = step.state.tickets.newsAt;
-    const Instant heard = step.now - age;
-    if (!newsAt || heard > *newsAt)
-        newsAt = heard;
+    std::optional<Instant> &lastUpdateAt = step.state.tickets.lastUpdateAt;
+    const Instant respondedAt = step.now - age;
+    if (!lastUpdateAt || respondedAt > *lastUpdateAt)
+        lastUpdateAt = respondedAt;
 }
 
-Span newsAge(const Step &step)
+Span updateAge(const Step &step)
 {
-    const std::optional<Instant> &newsAt = step.state.tickets.newsAt;
-    return newsAt ? step.now - *newsAt : noNews;
+    const std::optional<Instant> &lastUpdateAt = step.state.tickets.lastUpdateAt;
+    return lastUpdateAt ? step.now - *lastUpdateAt : noUpdateReceived;
 }
 
-void noteListRead(Step &step)
+void recordHostListRead(Step &step)
 {
     TicketState &tickets = step.state.tickets;
-    if (!tickets.isListRead)
-        tickets.patienceEnds = step.now + joinPatience;
-    tickets.isListRead = true;
+    if (!tickets.hasHostList)
+        tickets.peerWaitDeadline = step.now + peerWaitTimeout;
+    tickets.hasHostList = true;
 }
 
-/// Ends what waits here once the news is too old; what runs goes on to its end.
-void endWaitingWithoutNews(Step &step)
+/// Refuses waiting requests once the configuration information is too old; running requests
+/// continue.
+void refuseWaitingWithoutUpdates(Step &step)
 {
     HostState &state = step.state;
     if (state.requests.empty() || !isWithoutNews(state, step.now))
@@ -345,14 +354,14 @@
         endRefused(step, state.requests.at(id), ResultCode::HostWithoutNews, RunState::NotRun);
 }
 
-void tendTickets(Step &step)
+void updateTickets(Step &step)
 {
-    endWaitingWithoutNews(step);
+    refuseWaitingWithoutUpdates(step);
     installPublished(step);
     const bool isWaiting = step.state.inForce.ticket.value == 0
-            && !step.state.tickets.early.texts.empty();
-    if (isWaiting && mayBelievePlatform(step))
-        applyWhatMayBe(step);
+            && !step.state.tickets.pending.texts.empty();
+    if (isWaiting && mayTrustPlatform(step))
+        applyPendingTickets(step);
 }
 
 } // namespace azurewell::internal
@@ -369,7 +378,7 @@
                 && rendezvousWeight(text, id.value) > own;
         before += isBefore ? 1 : 0;
     }
-    return before < readersInZone ? Span{} : relayPatience;
+    return before < ticketReadersPerZone ? Span{} : relayTimeout;
 }
 
 bool isWithoutNews(const HostState &state, Instant now)
@@ -377,8 +386,8 @@
     const Span longest = state.inForce.fleet.longestWithoutNews;
     if (longest <= Span{})
         return false;
-    const std::optional<Instant> &newsAt = state.tickets.newsAt;
-    return !newsAt || now - *newsAt > longest;
+    const std::optional<Instant> &lastUpdateAt = state.tickets.lastUpdateAt;
+    return !lastUpdateAt || now - *lastUpdateAt > longest;
 }
 
 } // namespace azurewell
--- a/packages/host/src/upstreams.cpp
+++ b/packages/host/src/upstreams.cpp
@@ -5,12 +5,12 @@
 
 namespace {
 
-/// Failures in a row after which an upstream gets no work for a while.
+/// Consecutive failures after which an upstream is ejected, that is, gets no requests for a while.
 constexpr std::uint32_t failuresToEject = 3;
-constexpr Span ejection = fromSeconds(5);
-/// A stream's speed is known after this: some fifty tokens of a healthy engine, five of one that is
-/// ten times slower.
-constexpr Span paceKnownAfter = fromSeconds(2);
+constexpr Span ejectionDuration = fromSeconds(5);
+/// Minimum duration of a stream before its token rate is recorded: some fifty tokens of a healthy
+/// engine, five of one that is ten times slower.
+constexpr Span minRateSampleTime = fromSeconds(2);
 
 const AdapterRef noAdapter;
 
@@ -19,41 +19,43 @@
 std::optional<UpstreamId> chooseFor(Step &step, const RequestRecord &record)
 {
     const HostState &state = step.state;
-    const std::uint64_t salt = stableHash(record.asked.request.value);
-    if (record.asked.kind == RequestKind::ServiceCall) {
-        const RouteAsk ask{ record.asked.service.value, noAdapter, salt, record.failedAt };
+    const std::uint64_t salt = stableHash(record.arrival.request.value);
+    if (record.arrival.kind == RequestKind::ServiceCall) {
+        const RouteAsk ask{ record.arrival.service.value, noAdapter, salt,
+                            record.excludedUpstreams };
         return chooseUpstream(state.routing, ask, step.now);
     }
-    const std::optional<AdapterView> adapter = state.inForce.adapters.find(record.asked.adapter);
+    const std::optional<AdapterView> adapter = state.inForce.adapters.find(record.arrival.adapter);
     if (!adapter)
         return std::nullopt;
-    const RouteAsk ask{ *adapter->baseModel, record.asked.adapter, salt, record.failedAt };
+    const RouteAsk ask{ *adapter->baseModel, record.arrival.adapter, salt,
+                        record.excludedUpstreams };
     return chooseUpstream(state.routing, ask, step.now);
 }
 
-void noteRouted(Step &step, RequestRecord &record)
+void countRouted(Step &step, RequestRecord &record)
 {
-    noteUnrouted(step, record);
-    const bool isCall = record.asked.kind == RequestKind::ServiceCall;
-    noteSent(step.state.routing, record.upstream, isCall ? noAdapter : record.asked.adapter,
+    uncountRouted(step, record);
+    const bool isCall = record.arrival.kind == RequestKind::ServiceCall;
+    noteSent(step.state.routing, record.upstream, isCall ? noAdapter : record.arrival.adapter,
              step.now);
     record.isRouted = true;
 }
 
-void noteUnrouted(Step &step, RequestRecord &record)
+void uncountRouted(Step &step, RequestRecord &record)
 {
     if (record.isRouted)
         noteEnded(step.state.routing, record.upstream);
     record.isRouted = false;
 }
 
-void notePaceOf(Step &step, RequestRecord &record, bool isWhole)
+void recordStreamRate(Step &step, RequestRecord &record, bool isWhole)
 {
     const Span took = step.now - record.dispatchedAt;
-    const bool isKnown = took >= paceKnownAfter && !record.isPaceSeen;
-    if (record.asked.kind != RequestKind::Completion || !(isWhole || isKnown))
+    const bool isKnown = took >= minRateSampleTime && !record.isStreamRateRecorded;
+    if (record.arrival.kind != RequestKind::Completion || !(isWhole || isKnown))
         return;
-    record.isPaceSeen = true;
+    record.isStreamRateRecorded = true;
     const std::optional<Span> held = isWhole ? std::optional<Span>(took) : std::nullopt;
     notePace(step.state.routing, record.upstream, record.generated - record.resumedFrom, took, held,
              step.now);
@@ -66,11 +68,11 @@
     setState(step.state.routing, id, upstream.state);
 }
 
-void noteUpstreamOutcome(Step &step, const UpstreamId &id, AttemptOutcome outcome)
+void recordUpstreamOutcome(Step &step, const UpstreamId &id, AttemptOutcome outcome)
 {
     KnownUpstream &upstream = step.state.upstreams[id];
     if (outcome == AttemptOutcome::Cancelled)
-        return; // no word on the upstream
+        return; // says nothing about the upstream
     if (outcome == AttemptOutcome::Done) {
         upstream.failuresInARow = 0;
         setUpstreamState(step, id, UpstreamEvent::Answered);
@@ -82,7 +84,7 @@
     if (upstream.failuresInARow >= failuresToEject
         && accepts(step.state.charts.upstream, upstream.state, UpstreamEvent::Failed)) {
         setUpstreamState(step, id, UpstreamEvent::Failed);
-        upstream.ejectedUntil = step.now + ejection;
+        upstream.ejectedUntil = step.now + ejectionDuration;
     }
 }
 
@@ -94,7 +96,7 @@
     }
 }
 
-void noteSummaries(Step &step, const std::vector<EngineSummary> &summaries)
+void recordSummaries(Step &step, const std::vector<EngineSummary> &summaries)
 {
     for (const EngineSummary &summary : summaries) {
         EngineReport report;
--- a/packages/host/tests/at_most_once_test.cpp
+++ b/packages/host/tests/at_most_once_test.cpp
@@ -12,65 +12,66 @@
 constexpr std::size_t steps = 2000;
 constexpr std::size_t busySteps = 1500;
 
-CallTroubles calm()
+InjectedFaults noFaults()
 {
-    CallTroubles troubles;
-    troubles.lost = troubles.doubled = troubles.paused = troubles.replaced = 0;
-    troubles.unsent = troubles.cutShort = 0;
-    return troubles;
+    InjectedFaults faults;
+    faults.messageLoss = faults.duplication = faults.suspension = faults.replacement = 0;
+    faults.notSent = faults.noAnswer = 0;
+    return faults;
 }
 
-/// Seeds of the random run; AZUREWELL_SEEDS asks for a longer one by hand.
+/// Number of seeds of the random test; AZUREWELL_SEEDS sets another one for longer manual runs.
 std::uint64_t seedCount()
 {
-    const char *asked = std::getenv("AZUREWELL_SEEDS");
-    return asked ? std::strtoull(asked, nullptr, 10) : 300;
+    const char *callerRequests = std::getenv("AZUREWELL_SEEDS");
+    return callerRequests ? std::strtoull(callerRequests, nullptr, 10) : 300;
 }
 
-/// How many of \a seeds runs with \a troubles violate "at most once".
-std::size_t seedsInViolation(std::uint64_t seeds, const CallTroubles &troubles,
-                             const std::string &violation)
+/// Number of seeds, of \a seeds, whose run with \a faults has a violation that starts with \a
+/// violation.
+std::size_t countViolatingSeeds(std::uint64_t seeds, const InjectedFaults &faults,
+                                const std::string &violation)
 {
     std::size_t count = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        CallWorld world(seed, 3, troubles);
+        CallWorld world(seed, 3, faults);
         world.run(steps, busySteps);
-        bool isSeen = false;
+        bool isFound = false;
         for (const std::string &found : world.violations)
-            isSeen = isSeen || found.starts_with(violation);
-        count += isSeen ? 1 : 0;
+            isFound = isFound || found.starts_with(violation);
+        count += isFound ? 1 : 0;
     }
     return count;
 }
 
 } // namespace
 
-// Callers send each filing to one host or to two at once and repeat it later at any host. With
-// nothing else going wrong every call runs exactly once, and every repeat hears so.
+// Callers send each call to one host or to two at once and repeat it later at any host. Without
+// other faults every call runs exactly once, and every repeat gets its result.
 TEST(AtMostOnce, RepeatsAtAnyHostFindTheFirstRun)
 {
-    CallWorld world(1, 3, calm());
+    CallWorld world(1, 3, noFaults());
     world.run(steps, busySteps);
     EXPECT_TRUE(world.violations.empty());
     EXPECT_EQ(world.calls, 150U);
     EXPECT_EQ(world.runs, world.calls);
     EXPECT_GT(world.heldAnswers, 200U);
     EXPECT_EQ(world.refusals[ResultCode::OutcomeUnknown], 0U);
-    // What a request costs between hosts: ask and answer, and for the one that runs a report and
-    // its acknowledgement; nothing where it arrives at the issuer.
-    EXPECT_LT(world.messages, 2 * world.asked + 2 * world.runs);
+    // Messages between hosts: a permit request and its reply, plus a report and its acknowledgement
+    // for the request that runs; none if the request arrives at the issuer.
+    EXPECT_LT(world.messages, 2 * world.callerRequests + 2 * world.runs);
     RecordProperty("messages", std::to_string(world.messages));
-    RecordProperty("requests", std::to_string(world.asked));
+    RecordProperty("requests", std::to_string(world.callerRequests));
 }
 
-// The back end reads each filing and closes without answering, and callers repeat at other hosts.
-// A filing that ran is never sent again: each of its callers hears "outcome unknown". After some
-// failures the hosts send it nothing for a while, and what they refuse then truly has not run.
-TEST(AtMostOnce, ABackEndThatClosesMeansUnknownAtEveryHost)
+// The back end reads each call and closes the connection without answering, and callers repeat at
+// other hosts. A call that ran is never sent again: each of its callers gets "outcome unknown".
+// After some failures the hosts eject the back end, and calls that they refuse then have not run.
+TEST(AtMostOnce, AClosedConnectionGivesOutcomeUnknownAtEveryHost)
 {
-    CallTroubles troubles = calm();
-    troubles.cutShort = 1;
-    CallWorld world(1, 3, troubles);
+    InjectedFaults faults = noFaults();
+    faults.noAnswer = 1;
+    CallWorld world(1, 3, faults);
     world.run(steps, busySteps);
     EXPECT_TRUE(world.violations.empty());
     EXPECT_GT(world.runs, 20U);
@@ -79,49 +80,50 @@
     EXPECT_GT(world.refusals[ResultCode::NoUpstream], 0U);
 }
 
-// Messages between hosts are lost, doubled and reordered, hosts sleep past their permits and are
-// replaced, back ends close without answering, and callers repeat. A doubled filing would get a
-// permit suspended; a "not run" that is false would make a caller file again.
+// Messages between hosts are lost, duplicated and reordered, processes are suspended for longer
+// than their permits or replaced, back ends close without answering, and callers repeat. A filing
+// that ran twice would get an operating permit suspended; a false "not run" would make a caller
+// file again.
 TEST(AtMostOnce, HoldsUnderRandomFaults)
 {
     std::uint64_t runs = 0;
-    std::uint64_t saidNotRun = 0;
+    std::uint64_t reportedNotRun = 0;
     std::uint64_t replacements = 0;
     std::uint64_t calls = 0;
     std::uint64_t unknown = 0;
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
-        CallWorld world(seed, 2 + seed % 3, CallTroubles{});
+        CallWorld world(seed, 2 + seed % 3, InjectedFaults{});
         world.run(steps, busySteps);
         ASSERT_TRUE(world.violations.empty()) << "seed " << seed << ": " << world.violations[0];
         runs += world.runs;
-        saidNotRun += world.saidNotRun;
+        reportedNotRun += world.reportedNotRun;
         replacements += world.replacements;
         calls += world.calls;
         unknown += world.refusals[ResultCode::OutcomeUnknown];
     }
     EXPECT_GT(runs, 5000U);
-    EXPECT_GT(saidNotRun, 50U);
+    EXPECT_GT(reportedNotRun, 50U);
     EXPECT_GT(replacements, 100U);
     RecordProperty("calls", std::to_string(calls));
     RecordProperty("runs", std::to_string(runs));
     RecordProperty("replacements", std::to_string(replacements));
-    RecordProperty("said_not_run", std::to_string(saidNotRun));
+    RecordProperty("said_not_run", std::to_string(reportedNotRun));
     RecordProperty("outcome_unknown", std::to_string(unknown));
 }
 
-// Each promise is broken on purpose, and the check of that promise must notice.
-TEST(AtMostOnce, EachCheckCanFail)
+// Each guarantee is broken by an injected fault, which the check of that guarantee must detect.
+TEST(AtMostOnce, ChecksDetectInjectedFaults)
 {
-    CallTroubles twice;
+    InjectedFaults twice;
     twice.fault = CallFault::GrantsTwice;
-    EXPECT_GT(seedsInViolation(5, twice, "ran twice"), 0U);
-    CallTroubles regrants;
+    EXPECT_GT(countViolatingSeeds(5, twice, "ran twice"), 0U);
+    InjectedFaults regrants;
     regrants.fault = CallFault::RegrantsUnknown;
-    EXPECT_GT(seedsInViolation(100, regrants, "ran twice"), 0U);
-    CallTroubles late;
-    late.isSendingLate = true;
-    EXPECT_GT(seedsInViolation(200, late, "sent without a permit"), 0U);
-    CallTroubles claims;
-    claims.isClaimingNotRun = true;
-    EXPECT_GT(seedsInViolation(20, claims, "said not run"), 0U);
+    EXPECT_GT(countViolatingSeeds(100, regrants, "ran twice"), 0U);
+    InjectedFaults late;
+    late.isIgnoringPermitEnd = true;
+    EXPECT_GT(countViolatingSeeds(200, late, "sent without a permit"), 0U);
+    InjectedFaults claims;
+    claims.isAssumingNotRun = true;
+    EXPECT_GT(countViolatingSeeds(20, claims, "said not run"), 0U);
 }
--- a/packages/host/tests/call_world.cpp
+++ b/packages/host/tests/call_world.cpp
@@ -15,8 +15,8 @@
       { "id": "s1", "kind": "service", "zone": "z", "address": "127.0.0.1:2", "service": "filings", "batch_slots": 8 },
       { "id": "s2", "kind": "service", "zone": "z", "address": "127.0.0.1:3", "service": "filings", "batch_slots": 8 } ] } })";
 
-constexpr double longestPauseSeconds = 12;
-constexpr double callerPatienceSeconds = 8;
+constexpr double maxPauseSeconds = 12;
+constexpr double callerTimeoutSeconds = 8;
 
 HostId nameOf(std::size_t index)
 {
@@ -30,16 +30,17 @@
 
 } // namespace
 
-CallWorld::CallWorld(std::uint64_t seed, std::size_t hostCount, CallTroubles inTrouble)
+CallWorld::CallWorld(std::uint64_t seed, std::size_t hostCount, InjectedFaults injectedFaults)
     : random(seed)
-    , troubles(inTrouble)
+    , faults(injectedFaults)
     , hosts(hostCount)
 {
     for (std::size_t index = 0; index < this->hosts.size(); ++index) {
-        this->hosts[index].clockOffset = this->someDelay(1000);
-        this->makeLife(index);
+        this->hosts[index].clockOffset = this->randomDelay(1000);
+        this->startIncarnation(index);
     }
-    for (int step = 0; step < 200; ++step) // until every host has heard of every other
+    // until every host has received heartbeats of every other
+    for (int step = 0; step < 200; ++step)
         this->step();
 }
 
@@ -53,12 +54,12 @@
     return std::uniform_real_distribution<double>(0, 1)(this->random) < part;
 }
 
-Span CallWorld::someDelay(double mostSeconds)
+Span CallWorld::randomDelay(double maxSeconds)
 {
-    return fromSeconds(std::uniform_real_distribution<double>(0, mostSeconds)(this->random));
+    return fromSeconds(std::uniform_real_distribution<double>(0, maxSeconds)(this->random));
 }
 
-void CallWorld::makeLife(std::size_t index)
+void CallWorld::startIncarnation(std::size_t index)
 {
     Host &host = this->hosts[index];
     const Incarnation last = host.state.self.incarnation;
@@ -70,20 +71,20 @@
     self.incarnation = Incarnation{ last.value + 1 };
     self.randomSeed = this->random();
     host.state = makeHost(self, loadKnownCharts(AZUREWELL_CHARTS_DIR).value());
-    host.state.calls.ledger.fault = this->troubles.fault;
-    host.state.calls.isSendingLate = this->troubles.isSendingLate;
-    host.state.calls.isClaimingNotRun = this->troubles.isClaimingNotRun;
+    host.state.calls.ledger.fault = this->faults.fault;
+    host.state.calls.isIgnoringPermitEnd = this->faults.isIgnoringPermitEnd;
+    host.state.calls.isAssumingNotRun = this->faults.isAssumingNotRun;
     host.waiting.clear();
     host.pausedUntil = this->now;
     HostListRead list;
     for (std::size_t other = 0; other < this->hosts.size(); ++other)
         list.hosts.push_back(
                 ListedHost{ nameOf(other), ZoneId{ "z" }, nameOf(other).value, false });
-    this->give(index, list);
-    this->give(index, TicketRead{ ticketText });
+    this->deliver(index, list);
+    this->deliver(index, TicketRead{ ticketText });
 }
 
-void CallWorld::give(std::size_t index, const Event &event)
+void CallWorld::deliver(std::size_t index, const Event &event)
 {
     Host &host = this->hosts[index];
     if (this->now < host.pausedUntil) {
@@ -93,22 +94,22 @@
     }
     std::vector<Action> actions;
     handle(host.state, event, this->clockOf(host), actions);
-    this->carryOut(index, actions);
+    this->handleActions(index, actions);
 }
 
-void CallWorld::carryOut(std::size_t index, const std::vector<Action> &actions)
+void CallWorld::handleActions(std::size_t index, const std::vector<Action> &actions)
 {
     for (const Action &action : actions) {
         if (const SendPeer *message = std::get_if<SendPeer>(&action)) {
             this->sendPeer(index, *message);
         } else if (const Dispatch *order = std::get_if<Dispatch>(&action)) {
-            this->underWay[this->numberOf[order->request]].insert(order->request);
-            this->sends.emplace(this->now + this->someDelay(0.03),
+            this->inProgress[this->numberOf[order->request]].insert(order->request);
+            this->sends.emplace(this->now + this->randomDelay(0.03),
                                 Send{ index, this->hosts[index].state.self.incarnation, *order });
         } else if (const Refuse *refusal = std::get_if<Refuse>(&action)) {
-            this->noteRefusal(*refusal);
+            this->recordRefusal(*refusal);
         } else if (const AnswerHeld *held = std::get_if<AnswerHeld>(&action)) {
-            this->noteHeld(*held);
+            this->recordStoredAnswer(*held);
         } else if (const AnswerNumbers *numbers = std::get_if<AnswerNumbers>(&action)) {
             this->calls += numbers->numbers.size();
             this->issued.insert(this->issued.end(), numbers->numbers.begin(),
@@ -129,32 +130,33 @@
             continue;
         const PeerMessage sent{ nameOf(index), this->hosts[index].state.self.incarnation,
                                 message.body };
-        if (!this->chance(this->troubles.lost))
-            this->deliveries.emplace(this->now + this->someDelay(0.05),
+        if (!this->chance(this->faults.messageLoss))
+            this->deliveries.emplace(this->now + this->randomDelay(0.05),
                                      Delivery{ to, PeerMessageReceived{ sent } });
-        if (this->chance(this->troubles.doubled))
-            this->deliveries.emplace(this->now + this->someDelay(3),
+        if (this->chance(this->faults.duplication))
+            this->deliveries.emplace(this->now + this->randomDelay(3),
                                      Delivery{ to, PeerMessageReceived{ sent } });
     }
 }
 
-/// The traffic thread of a host carries a Dispatch out, as the shell does: deadline first.
-void CallWorld::carryOutSend(const Send &send)
+/// Carries a Dispatch out as the traffic thread of the shell does: checks the deadline first.
+void CallWorld::runDispatch(const Send &send)
 {
     Host &host = this->hosts[send.from];
-    if (host.state.self.incarnation != send.life) { // the process is gone, and its order with it
-        this->underWay[this->numberOf[send.order.request]].erase(send.order.request);
+    if (host.state.self.incarnation != send.incarnation) {
+        // the process is gone, and its order with it
+        this->inProgress[this->numberOf[send.order.request]].erase(send.order.request);
         return;
     }
     if (this->now < host.pausedUntil) {
         this->sends.emplace(host.pausedUntil, send);
         return;
     }
-    if (this->clockOf(host) >= send.order.notAfter || this->chance(this->troubles.unsent)) {
-        this->underWay[this->numberOf[send.order.request]].erase(send.order.request);
-        this->give(send.from,
-                   AttemptEnded{ send.order.request, send.order.attempt, AttemptOutcome::NotSent,
-                                 Tokens{}, false });
+    if (this->clockOf(host) >= send.order.notAfter || this->chance(this->faults.notSent)) {
+        this->inProgress[this->numberOf[send.order.request]].erase(send.order.request);
+        this->deliver(send.from,
+                      AttemptEnded{ send.order.request, send.order.attempt, AttemptOutcome::NotSent,
+                                    Tokens{}, false });
         return;
     }
     this->runAtBackEnd(send);
@@ -164,21 +166,21 @@
 {
     const CallNumber number = this->numberOf[send.order.request];
     this->checkPermit(send, number);
-    this->underWay[number].erase(send.order.request);
+    this->inProgress[number].erase(send.order.request);
     ++this->runs;
     if (++this->runsOf[number] > 1)
         this->violations.push_back("ran twice: " + number.value);
     AttemptEnded ended{ send.order.request, send.order.attempt, AttemptOutcome::Failed, Tokens{},
                         false };
-    if (!this->chance(this->troubles.cutShort)) {
+    if (!this->chance(this->faults.noAnswer)) {
         ended.outcome = AttemptOutcome::Done;
         ended.answer = answerFor(number);
         ++this->answered;
     }
-    this->deliveries.emplace(this->now + this->someDelay(0.2), Delivery{ send.from, ended });
+    this->deliveries.emplace(this->now + this->randomDelay(0.2), Delivery{ send.from, ended });
 }
 
-/// An issuer that is still there must stand by the permit at the moment of sending.
+/// If the issuer is still running, the permit must be valid at the moment of sending.
 void CallWorld::checkPermit(const Send &send, const CallNumber &number)
 {
     const CallNumberParts parts = parseCallNumber(number).value();
@@ -197,22 +199,22 @@
     }
 }
 
-void CallWorld::noteRefusal(const Refuse &refusal)
+void CallWorld::recordRefusal(const Refuse &refusal)
 {
     ++this->refusals[refusal.code];
     const auto number = this->numberOf.find(refusal.request);
     if (number == this->numberOf.end())
         return;
     if (refusal.runState == RunState::NotRun) {
-        ++this->saidNotRun;
-        if (this->runsOf[number->second] > 0 || !this->underWay[number->second].empty())
+        ++this->reportedNotRun;
+        if (this->runsOf[number->second] > 0 || !this->inProgress[number->second].empty())
             this->violations.push_back("said not run: " + number->second.value);
     }
     if (refusal.runState == RunState::Ran && this->runsOf[number->second] != 1)
         this->violations.push_back("said ran: " + number->second.value);
 }
 
-void CallWorld::noteHeld(const AnswerHeld &answer)
+void CallWorld::recordStoredAnswer(const AnswerHeld &answer)
 {
     ++this->heldAnswers;
     const CallNumber &number = this->numberOf.at(answer.request);
@@ -220,7 +222,7 @@
         this->violations.push_back("held answer of another call: " + number.value);
 }
 
-void CallWorld::askAt(std::size_t index, const CallNumber &number)
+void CallWorld::sendCallerRequest(std::size_t index, const CallNumber &number)
 {
     RequestArrived event;
     event.request = RequestId{ "r" + std::to_string(this->nextRequest++) };
@@ -228,14 +230,14 @@
     event.key = key;
     event.service = ServiceId{ "filings" };
     event.callNumber = number;
-    event.deadline = this->clockOf(this->hosts[index]) + fromSeconds(callerPatienceSeconds);
+    event.deadline = this->clockOf(this->hosts[index]) + fromSeconds(callerTimeoutSeconds);
     this->numberOf[event.request] = number;
-    ++this->asked;
-    this->give(index, event);
+    ++this->callerRequests;
+    this->deliver(index, event);
 }
 
-/// Callers take numbers, use each at one or two hosts at once, and repeat old ones anywhere.
-void CallWorld::callerActs()
+/// Callers request numbers, use each at one or two hosts at once, and repeat old ones at any host.
+void CallWorld::simulateCallers()
 {
     const std::size_t index = this->random() % this->hosts.size();
     RequestArrived forNumbers;
@@ -244,28 +246,28 @@
     forNumbers.key = key;
     forNumbers.numbers = 1;
     const std::size_t before = this->issued.size();
-    this->give(index, forNumbers);
+    this->deliver(index, forNumbers);
     if (this->issued.size() > before) {
         const CallNumber number = this->issued.back();
-        this->askAt(this->random() % this->hosts.size(), number);
+        this->sendCallerRequest(this->random() % this->hosts.size(), number);
         if (this->chance(0.3))
-            this->askAt(this->random() % this->hosts.size(), number);
+            this->sendCallerRequest(this->random() % this->hosts.size(), number);
     }
     for (int repeat = 0; repeat < 2 && !this->issued.empty(); ++repeat) {
         const std::size_t recent = std::min<std::size_t>(this->issued.size(), 60);
         const std::size_t which = this->issued.size() - 1 - this->random() % recent;
-        this->askAt(this->random() % this->hosts.size(), this->issued[which]);
+        this->sendCallerRequest(this->random() % this->hosts.size(), this->issued[which]);
     }
 }
 
-void CallWorld::disturb()
+void CallWorld::injectFaults()
 {
     for (std::size_t index = 0; index < this->hosts.size(); ++index) {
-        if (this->chance(this->troubles.paused))
-            this->hosts[index].pausedUntil = this->now + this->someDelay(longestPauseSeconds);
-        if (this->chance(this->troubles.replaced)) {
+        if (this->chance(this->faults.suspension))
+            this->hosts[index].pausedUntil = this->now + this->randomDelay(maxPauseSeconds);
+        if (this->chance(this->faults.replacement)) {
             ++this->replacements;
-            this->makeLife(index);
+            this->startIncarnation(index);
         }
     }
 }
@@ -276,25 +278,25 @@
     while (!this->sends.empty() && this->sends.begin()->first <= this->now) {
         const Send send = this->sends.begin()->second;
         this->sends.erase(this->sends.begin());
-        this->carryOutSend(send);
+        this->runDispatch(send);
     }
     while (!this->deliveries.empty() && this->deliveries.begin()->first <= this->now) {
         const Delivery delivery = this->deliveries.begin()->second;
         this->deliveries.erase(this->deliveries.begin());
-        this->give(delivery.to, delivery.event);
+        this->deliver(delivery.to, delivery.event);
     }
     for (std::size_t index = 0; index < this->hosts.size(); ++index) {
         if (this->now < this->hosts[index].pausedUntil)
             continue;
-        // A process that wakes reads its sockets before its timers fire, or after.
+        // A process that resumes handles its sockets before or after its timers.
         const bool isTickFirst = this->chance(0.5);
         if (isTickFirst)
-            this->give(index, Tick{});
+            this->deliver(index, Tick{});
         const std::vector<Event> waiting = std::exchange(this->hosts[index].waiting, {});
         for (const Event &event : waiting)
-            this->give(index, event);
+            this->deliver(index, event);
         if (!isTickFirst)
-            this->give(index, Tick{});
+            this->deliver(index, Tick{});
     }
 }
 
@@ -302,8 +304,8 @@
 {
     for (std::size_t index = 0; index < steps; ++index) {
         if (index < busy && index % 10 == 0)
-            this->callerActs();
-        this->disturb();
+            this->simulateCallers();
+        this->injectFaults();
         this->step();
     }
 }
--- a/packages/host/tests/host_test.cpp
+++ b/packages/host/tests/host_test.cpp
@@ -21,7 +21,7 @@
 const std::string withdrawal = R"({ "ticket": 2, "by": "ana", "why": "key lost", "set": {
     "keys": [ { "sha256": "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa", "customer": "c", "state": "withdrawn" } ] } })";
 
-/// One host with an engine that does what it is told at once.
+/// One host with an engine that carries out every order at once.
 struct Fixture
 {
     HostState state;
@@ -37,7 +37,7 @@
         this->state = makeHost(self, loadKnownCharts(AZUREWELL_CHARTS_DIR).value());
     }
 
-    void give(const Event &event)
+    void deliver(const Event &event)
     {
         this->actions.clear();
         handle(this->state, event, this->now, this->actions);
@@ -54,18 +54,18 @@
                        this->now, this->actions);
         }
     }
-    void pass(Span span)
+    void advanceTime(Span span)
     {
         const Instant until = this->now + span;
         while (this->now < until) {
             this->now = this->now + tickInterval;
-            this->give(Tick{});
+            this->deliver(Tick{});
         }
     }
-    void begin()
+    void start()
     {
-        this->give(TicketRead{ ticketText });
-        this->pass(fromSeconds(1));
+        this->deliver(TicketRead{ ticketText });
+        this->advanceTime(fromSeconds(1));
     }
     RequestArrived request(const std::string &id, RequestKind kind = RequestKind::Completion)
     {
@@ -95,124 +95,124 @@
 TEST(Host, ARequestIsDispatchedOnceItsAdapterIsLoaded)
 {
     Fixture fixture;
-    fixture.begin();
-    fixture.give(fixture.request("r1"));
+    fixture.start();
+    fixture.deliver(fixture.request("r1"));
     ASSERT_NE(fixture.last<Dispatch>(), nullptr);
     EXPECT_EQ(fixture.last<Dispatch>()->upstream, UpstreamId{ "e1" });
-    fixture.give(AttemptEnded{ RequestId{ "r1" }, 1, AttemptOutcome::Done, Tokens{ 20 }, true });
+    fixture.deliver(AttemptEnded{ RequestId{ "r1" }, 1, AttemptOutcome::Done, Tokens{ 20 }, true });
     EXPECT_TRUE(fixture.state.requests.empty());
     EXPECT_TRUE(fixture.state.kept.at(UpstreamId{ "e1" }).granted.empty());
 }
 
-// A key is withdrawn while a caller's stream runs and another request waits. Both end within the
-// same moment, and new requests are refused with the reason.
-TEST(Host, AWithdrawnKeyStopsEverywhere)
+// A key is withdrawn while a caller's stream runs and another request waits. Both must end at once,
+// and new requests must be refused with the reason.
+TEST(Host, AWithdrawnKeyEndsAllItsRequests)
 {
     Fixture fixture;
-    fixture.begin();
+    fixture.start();
     for (const char *id : { "r1", "r2", "r3" })
-        fixture.give(fixture.request(id));
-    fixture.give(TicketRead{ withdrawal });
+        fixture.deliver(fixture.request(id));
+    fixture.deliver(TicketRead{ withdrawal });
     EXPECT_TRUE(fixture.state.requests.empty());
     EXPECT_NE(fixture.last<CancelAttempt>(), nullptr);
     EXPECT_EQ(fixture.state.counters.refusals[ResultCode::KeyWithdrawn], 3U);
-    fixture.give(fixture.request("r4"));
+    fixture.deliver(fixture.request("r4"));
     EXPECT_EQ(fixture.last<Refuse>()->code, ResultCode::KeyWithdrawn);
 }
 
 // An adapter is retired while a stream runs on it and other requests wait for a slot. The stream
-// goes on to its end; what waits is refused as not run. A ticket that only adds an adapter ends
-// nothing.
-TEST(Host, ARetiredAdapterEndsWhatWaitsAndLetsRunningStreamsEnd)
+// must run to its end, and waiting requests must be refused as not run. A ticket that only adds an
+// adapter must end nothing.
+TEST(Host, ARetiredAdapterEndsWaitingRequestsButNotRunningStreams)
 {
     Fixture fixture;
-    fixture.begin();
+    fixture.start();
     for (const char *id : { "r1", "r2", "r3", "r4" }) // two run, two wait
-        fixture.give(fixture.request(id));
-    fixture.give(TicketRead{ R"({ "ticket": 2, "by": "ana", "why": "b", "set": { "adapters": [
+        fixture.deliver(fixture.request(id));
+    fixture.deliver(TicketRead{ R"({ "ticket": 2, "by": "ana", "why": "b", "set": { "adapters": [
         { "adapter": "b@1", "customer": "c", "base": "m" } ] } })" });
     EXPECT_EQ(fixture.state.requests.size(), 4U);
-    fixture.give(TicketRead{
+    fixture.deliver(TicketRead{
             R"({ "ticket": 3, "by": "ana", "why": "old", "remove": { "adapters": ["a@1"] } })" });
     EXPECT_EQ(fixture.state.requests.size(), 2U);
     EXPECT_EQ(fixture.state.counters.refusals[ResultCode::AdapterUnknown], 2U);
     EXPECT_EQ(fixture.last<CancelAttempt>(), nullptr);
-    fixture.give(AttemptEnded{ RequestId{ "r1" }, 1, AttemptOutcome::Done, Tokens{ 20 }, true });
+    fixture.deliver(AttemptEnded{ RequestId{ "r1" }, 1, AttemptOutcome::Done, Tokens{ 20 }, true });
     EXPECT_EQ(fixture.state.counters.completed, 1U);
 }
 
-// A customer is removed while its stream runs: the stream ends, and the engine is told.
+// A customer is removed while its stream runs: the stream must end and be cancelled at the engine.
 TEST(Host, ARemovedCustomersStreamsEnd)
 {
     Fixture fixture;
-    fixture.begin();
-    fixture.give(fixture.request("r1"));
-    fixture.give(TicketRead{
+    fixture.start();
+    fixture.deliver(fixture.request("r1"));
+    fixture.deliver(TicketRead{
             R"({ "ticket": 2, "by": "ana", "why": "left", "remove": { "customers": ["c"] } })" });
     EXPECT_TRUE(fixture.state.requests.empty());
     EXPECT_NE(fixture.last<CancelAttempt>(), nullptr);
     EXPECT_EQ(fixture.state.counters.refusals[ResultCode::KeyUnknown], 1U);
 }
 
-// A back end reads a filing and closes without answering. Whether it was filed is not known, so it
-// is not sent again, and the caller is told just that.
-TEST(Host, AFilingIsNeverSentTwice)
+// A back end reads a call that is not idempotent and closes without answering. Whether the call ran
+// is unknown, so it must not be sent again, and the caller must be told so.
+TEST(Host, ANonIdempotentCallIsNeverSentTwice)
 {
     Fixture fixture;
-    fixture.begin();
-    fixture.give(fixture.request("f1", RequestKind::ServiceCall));
+    fixture.start();
+    fixture.deliver(fixture.request("f1", RequestKind::ServiceCall));
     ASSERT_NE(fixture.last<Dispatch>(), nullptr);
     EXPECT_FALSE(fixture.last<Dispatch>()->mayRunTwice);
-    fixture.give(AttemptEnded{ RequestId{ "f1" }, 1, AttemptOutcome::Failed, Tokens{}, false });
+    fixture.deliver(AttemptEnded{ RequestId{ "f1" }, 1, AttemptOutcome::Failed, Tokens{}, false });
     EXPECT_EQ(fixture.last<Dispatch>(), nullptr);
     ASSERT_NE(fixture.last<Refuse>(), nullptr);
     EXPECT_EQ(fixture.last<Refuse>()->runState, RunState::Unknown);
 }
 
-// The host gets SIGTERM while a stream runs. The stream ends in its own time, new requests are sent
-// elsewhere, and only then does the process leave.
+// The host gets SIGTERM while a stream runs. New requests must be refused, and the process must
+// exit only after the stream has ended.
 TEST(Host, APlannedStopWaitsForTheLastRequest)
 {
     Fixture fixture;
-    fixture.begin();
-    fixture.give(fixture.request("r1"));
-    fixture.give(StopAsked{});
-    fixture.pass(fromSeconds(1));
+    fixture.start();
+    fixture.deliver(fixture.request("r1"));
+    fixture.deliver(StopAsked{});
+    fixture.advanceTime(fromSeconds(1));
     EXPECT_EQ(fixture.last<LeaveProcess>(), nullptr);
-    fixture.give(fixture.request("r2"));
+    fixture.deliver(fixture.request("r2"));
     EXPECT_EQ(fixture.last<Refuse>()->code, ResultCode::HostDraining);
-    fixture.give(AttemptEnded{ RequestId{ "r1" }, 1, AttemptOutcome::Done, Tokens{ 20 }, true });
-    fixture.give(Tick{});
+    fixture.deliver(AttemptEnded{ RequestId{ "r1" }, 1, AttemptOutcome::Done, Tokens{ 20 }, true });
+    fixture.deliver(Tick{});
     EXPECT_NE(fixture.last<LeaveProcess>(), nullptr);
 }
 
 // A host that issued a call number is asked to stop while another host runs the call under its
-// permit. It goes on answering for the number, and leaves only when the outcome is reported: a
-// repeat that came in between would otherwise hear "outcome unknown" for no reason.
+// permit. It must answer for the number until the outcome is reported: otherwise a repeat in
+// between would needlessly get "outcome unknown".
 TEST(Host, APlannedStopWaitsForTheCallsItPermitted)
 {
     Fixture fixture;
     const HostId other{ "h1" };
-    fixture.give(HostListRead{ { ListedHost{ other, ZoneId{ "z" }, "a", false } }, {} });
-    fixture.begin();
-    fixture.pass(fromSeconds(2)); // nobody else was heard
+    fixture.deliver(HostListRead{ { ListedHost{ other, ZoneId{ "z" }, "a", false } }, {} });
+    fixture.start();
+    fixture.advanceTime(fromSeconds(2)); // no other host sent a heartbeat
     ASSERT_EQ(fixture.state.process, ProcessState::Serving);
-    fixture.give(fixture.request("n", RequestKind::CallNumbers));
+    fixture.deliver(fixture.request("n", RequestKind::CallNumbers));
     ASSERT_NE(fixture.last<AnswerNumbers>(), nullptr);
     const CallNumber number = fixture.last<AnswerNumbers>()->numbers.at(0);
     const auto ask = [&](const char *request) {
-        fixture.give(PeerMessageReceived{ PeerMessage{
+        fixture.deliver(PeerMessageReceived{ PeerMessage{
                 other, Incarnation{ 1 },
                 PermitAsk{ number, CustomerId{ "c" }, RequestId{ request }, fromSeconds(20) } } });
         const SendPeer *sent = fixture.last<SendPeer>();
         return std::get<PermitReply>(sent->body).answer.verdict;
     };
     EXPECT_EQ(ask("first"), PermitVerdict::Granted);
-    fixture.give(StopAsked{});
-    fixture.pass(fromSeconds(3));
+    fixture.deliver(StopAsked{});
+    fixture.advanceTime(fromSeconds(3));
     EXPECT_EQ(fixture.last<LeaveProcess>(), nullptr);
     EXPECT_EQ(ask("repeat"), PermitVerdict::InProgress);
-    fixture.give(
+    fixture.deliver(
             PeerMessageReceived{ PeerMessage{ other, Incarnation{ 1 },
                                               OutcomeReport{ number,
                                                              CustomerId{ "c" },
@@ -220,6 +220,6 @@
                                                              CallOutcome::Done,
                                                              { 201, "text/plain", "filed" } } } });
     EXPECT_EQ(ask("repeat"), PermitVerdict::Done);
-    fixture.give(Tick{});
+    fixture.deliver(Tick{});
     EXPECT_NE(fixture.last<LeaveProcess>(), nullptr);
 }
--- a/packages/host/tests/retry_traffic_test.cpp
+++ b/packages/host/tests/retry_traffic_test.cpp
@@ -31,11 +31,11 @@
         self.zone = ZoneId{ "z" };
         self.incarnation = Incarnation{ 1 };
         this->state = makeHost(self, loadKnownCharts(AZUREWELL_CHARTS_DIR).value());
-        this->give(TicketRead{ ticketText });
-        this->pass(fromSeconds(1));
+        this->deliver(TicketRead{ ticketText });
+        this->advanceTime(fromSeconds(1));
     }
 
-    void give(const Event &event)
+    void deliver(const Event &event)
     {
         std::vector<Action> actions;
         handle(this->state, event, this->now, actions);
@@ -50,15 +50,15 @@
             ended.request = dispatch->request;
             ended.attempt = dispatch->attempt;
             ended.outcome = AttemptOutcome::Refused;
-            this->give(ended);
+            this->deliver(ended);
         }
     }
-    void pass(Span span)
+    void advanceTime(Span span)
     {
         const Instant until = this->now + span;
         while (this->now < until) {
             this->now = this->now + tickInterval;
-            this->give(Tick{});
+            this->deliver(Tick{});
         }
     }
     void ask(int number)
@@ -70,23 +70,23 @@
         event.service = ServiceId{ "routes" };
         event.isSafeMethod = true;
         event.deadline = this->now + fromSeconds(30);
-        this->give(event);
+        this->deliver(event);
     }
 };
 
 } // namespace
 
-// Every back end answers 503 for a while. A caller gets its refusal at once, and the back ends see
-// less than a tenth more requests than callers sent: more would keep them down.
+// Every back end answers 503 for a while. Callers must be refused at once, and the back ends must
+// get less than a tenth more requests than callers sent: more retries would keep them overloaded.
 TEST(RetryTraffic, StaysUnderATenthWhileEveryUpstreamRefuses)
 {
     RefusingWorld world;
-    constexpr int asked = 2000;
-    for (int number = 0; number < asked; ++number) {
+    constexpr int requestCount = 2000;
+    for (int number = 0; number < requestCount; ++number) {
         world.ask(number);
-        world.pass(tickInterval);
+        world.advanceTime(tickInterval);
     }
-    EXPECT_LT(world.sent, asked * 1.1);
-    EXPECT_EQ(world.refused, static_cast<std::uint64_t>(asked));
+    EXPECT_LT(world.sent, requestCount * 1.1);
+    EXPECT_EQ(world.refused, static_cast<std::uint64_t>(requestCount));
     EXPECT_TRUE(world.state.requests.empty());
 }
--- a/packages/host/tests/tickets_host_test.cpp
+++ b/packages/host/tests/tickets_host_test.cpp
@@ -49,32 +49,32 @@
                           + R"(", "customer": "c", "state": "withdrawn" } ])");
 }
 
-/// Hosts with a network that takes a millisecond and may lose messages; the test is the platform.
+/// Hosts with a network that has 1 ms latency and may lose messages; the test acts as the platform.
 struct Fleet
 {
     explicit Fleet(std::size_t count)
         : hosts(count)
     {
         for (std::size_t index = 0; index < count; ++index)
-            this->begin(index, 1);
+            this->start(index, 1);
     }
 
-    void begin(std::size_t index, std::uint64_t life)
+    void start(std::size_t index, std::uint64_t incarnation)
     {
         HostIdentity self;
         self.id = HostId{ "h" + std::to_string(index) };
         self.zone = ZoneId{ "z" };
         self.peerAddress = self.id.value;
-        self.incarnation = Incarnation{ life };
+        self.incarnation = Incarnation{ incarnation };
         self.randomSeed = index;
         this->hosts[index] = makeHost(self, loadKnownCharts(AZUREWELL_CHARTS_DIR).value());
         HostListRead list;
         for (std::size_t other = 0; other < this->hosts.size(); ++other)
             list.hosts.push_back(
                     ListedHost{ HostId{ "h" + std::to_string(other) }, ZoneId{ "z" }, "a", false });
-        this->give(index, list);
+        this->deliver(index, list);
     }
-    void give(std::size_t index, const Event &event)
+    void deliver(std::size_t index, const Event &event)
     {
         this->actions.clear();
         std::vector<Action> made;
@@ -89,7 +89,8 @@
     void send(std::size_t from, const SendPeer &sent)
     {
         const std::size_t to = std::stoul(sent.to.value.substr(1));
-        if (this->isCut(from) != this->isCut(to) || this->random() % 100 < this->lostPercent)
+        if (this->isDisconnected(from) != this->isDisconnected(to)
+            || this->random() % 100 < this->lostPercent)
             return;
         if (std::holds_alternative<SnapshotPart>(sent.body)) {
             ++this->segmentsSent;
@@ -102,11 +103,11 @@
                                    sent.body };
         this->deliveries.emplace(this->now + fromSeconds(0.001), std::pair{ to, message });
     }
-    bool isCut(std::size_t index) const
+    bool isDisconnected(std::size_t index) const
     {
-        return this->cutOff.contains(index);
+        return this->disconnected.contains(index);
     }
-    void pass(double seconds)
+    void advanceTime(double seconds)
     {
         const Instant until = this->now + fromSeconds(seconds);
         while (this->now < until) {
@@ -114,16 +115,16 @@
             while (!this->deliveries.empty() && this->deliveries.begin()->first <= this->now) {
                 const auto [to, message] = this->deliveries.begin()->second;
                 this->deliveries.erase(this->deliveries.begin());
-                this->give(to, PeerMessageReceived{ message });
+                this->deliver(to, PeerMessageReceived{ message });
             }
             for (std::size_t index = 0; index < this->hosts.size(); ++index)
-                this->give(index, Tick{});
+                this->deliver(index, Tick{});
         }
     }
     void publish(const std::vector<std::size_t> &readers, const std::string &text)
     {
         for (const std::size_t reader : readers)
-            this->give(reader, TicketRead{ text });
+            this->deliver(reader, TicketRead{ text });
     }
     std::uint64_t ticketAt(std::size_t index) const
     {
@@ -139,7 +140,7 @@
     }
 
     std::vector<HostState> hosts;
-    std::set<std::size_t> cutOff;
+    std::set<std::size_t> disconnected;
     std::multimap<Instant, std::pair<std::size_t, PeerMessage>> deliveries;
     std::vector<Action> actions;
     std::mt19937_64 random{ 1 };
@@ -152,28 +153,28 @@
 
 } // namespace
 
-// The configuration service has gone stale for an hour and shows the first two tickets; since then
-// a key was withdrawn. A host is replaced, reads the stale service first, and must come up with
-// what its peers know: at no moment does the withdrawn key work there.
-TEST(TicketsOnHosts, AFreshHostAsksItsPeersBeforeItBelievesTheService)
+// The configuration service has been stale for an hour and shows the first two tickets; since then
+// a key was withdrawn. A replaced host reads the stale service first, but must start with the state
+// of its peers: the withdrawn key must not work there at any moment.
+TEST(TicketsOnHosts, ANewHostAsksItsPeersBeforeItTrustsTheService)
 {
     for (const bool isFaulty : { false, true }) {
         Fleet fleet(3);
-        fleet.pass(1);
+        fleet.advanceTime(1);
         fleet.publish({ 0 }, firstTicket(10));
         fleet.publish({ 0 }, newAdapter(2));
         fleet.publish({ 0 }, withdrawal(3));
-        fleet.pass(1);
+        fleet.advanceTime(1);
         ASSERT_TRUE(fleet.isEverywhere(3));
-        fleet.begin(2, 2);
-        fleet.hosts[2].tickets.isBelievingAtOnce = isFaulty;
+        fleet.start(2, 2);
+        fleet.hosts[2].tickets.isTrustingPlatformAtOnce = isFaulty;
         bool hasWorked = false;
         fleet.publish({ 2 }, firstTicket(10));
         fleet.publish({ 2 }, newAdapter(2));
         for (int step = 0; step < 200; ++step) {
             const bool isOld = fleet.ticketAt(2) > 0 && fleet.ticketAt(2) < 3;
             hasWorked = hasWorked || isOld;
-            fleet.pass(0.01);
+            fleet.advanceTime(0.01);
         }
         EXPECT_EQ(hasWorked, isFaulty);
         EXPECT_EQ(fleet.ticketAt(2), 3U);
@@ -181,39 +182,39 @@
     }
 }
 
-// A host starts while the configuration service is down and no other host can be heard. It says
-// that it is not ready. When the service answers and still nobody is heard, it serves what the
-// service says, and takes over what its peers know as soon as it hears them.
+// A host starts while the configuration service is down and no other host is reachable. It must not
+// report ready. When the service answers and the peers are still unreachable, it must serve the
+// service's state, and adopt that of its peers as soon as they are reachable.
 TEST(TicketsOnHosts, AHostWithNeitherPeersNorServiceIsNotReady)
 {
     Fleet fleet(3);
-    fleet.pass(1);
+    fleet.advanceTime(1);
     fleet.publish({ 0 }, firstTicket(10));
     fleet.publish({ 0 }, withdrawal(2));
-    fleet.pass(1);
-    fleet.cutOff = { 2 };
-    fleet.begin(2, 2);
-    fleet.pass(5);
+    fleet.advanceTime(1);
+    fleet.disconnected = { 2 };
+    fleet.start(2, 2);
+    fleet.advanceTime(5);
     EXPECT_EQ(fleet.hosts[2].process, ProcessState::Starting);
     fleet.publish({ 2 }, firstTicket(10));
     EXPECT_EQ(fleet.hosts[2].process, ProcessState::Serving);
-    fleet.cutOff.clear();
-    fleet.pass(2);
+    fleet.disconnected.clear();
+    fleet.advanceTime(2);
     EXPECT_EQ(fleet.ticketAt(2), 2U);
 }
 
-// The service goes back to an older index and shows old tickets again, one of them with another
-// text. Nothing reverts anywhere.
-TEST(TicketsOnHosts, AServiceThatGoesBackChangesNothing)
+// The service reverts to an older index and shows old tickets again, one of them with a different
+// text. No host may revert.
+TEST(TicketsOnHosts, ARevertedServiceChangesNothing)
 {
     Fleet fleet(3);
-    fleet.pass(1);
+    fleet.advanceTime(1);
     fleet.publish({ 0 }, firstTicket(10));
     fleet.publish({ 0 }, withdrawal(2));
-    fleet.pass(1);
+    fleet.advanceTime(1);
     fleet.publish({ 0, 1, 2 }, firstTicket(3));
     fleet.publish({ 0, 1, 2 }, newAdapter(2));
-    fleet.pass(1);
+    fleet.advanceTime(1);
     EXPECT_TRUE(fleet.isEverywhere(2));
     for (const HostState &host : fleet.hosts) {
         EXPECT_EQ(host.inForce.adapters.size(), 10U);
@@ -221,26 +222,26 @@
     }
 }
 
-// A host was replaced after the others had dropped the first tickets. It gets the state in segments
-// over a link that loses a third of all messages, while a new ticket comes in between. It ends with
-// exactly what the others have, and no segment is near the frame's limit.
-TEST(TicketsOnHosts, AFreshHostGetsASnapshotWholeOrNotAtAll)
+// A host was replaced after the others had dropped the first tickets. It gets a snapshot in
+// segments over a link that loses a third of all messages, while a new ticket arrives. It must end
+// with exactly the state of the others, and no segment may be near the frame size limit.
+TEST(TicketsOnHosts, ANewHostAppliesASnapshotCompletelyOrNotAtAll)
 {
     Fleet fleet(3);
-    fleet.pass(1);
+    fleet.advanceTime(1);
     fleet.publish({ 0 }, firstTicket(3500));
     for (std::uint64_t number = 2; number <= 400; ++number)
         fleet.publish({ 0, 1 }, newAdapter(number));
-    fleet.pass(2);
+    fleet.advanceTime(2);
     ASSERT_EQ(fleet.ticketAt(0), 400U);
     EXPECT_LE(fleet.hosts[0].tickets.applied.texts.size(), 256U);
-    fleet.begin(2, 2);
+    fleet.start(2, 2);
     fleet.lostPercent = 33;
     bool isPartial = false;
     for (int step = 0; step < 2000 && fleet.ticketAt(2) < 401; ++step) {
         if (step == 30)
             fleet.publish({ 0 }, withdrawal(401));
-        fleet.pass(0.01);
+        fleet.advanceTime(0.01);
         const HostState &host = fleet.hosts[2];
         isPartial = isPartial
                 || (host.inForce.ticket.value > 0 && host.inForce.adapters.size() != 3899);
@@ -255,12 +256,12 @@
 }
 
 // An operator publishes a ticket with an adapter of a customer that does not exist, and two more
-// after it. No host applies any part of it, each shows why, and the later ones wait. The operator
-// publishes a corrected text under the same number, and all three are in force.
-TEST(TicketsOnHosts, ABadTicketIsRefusedWholeAndTheLaterOnesWait)
+// after it. No host may apply any part of it, each must show the reason, and the later tickets must
+// wait. After a corrected text under the same number, all three must be in force.
+TEST(TicketsOnHosts, AnInvalidTicketIsRejectedCompletelyAndLaterOnesWait)
 {
     Fleet fleet(3);
-    fleet.pass(1);
+    fleet.advanceTime(1);
     fleet.publish({ 0, 1, 2 }, firstTicket(10));
     const std::string bad = ticket(2, R"("adapters": [
         { "adapter": "good@1", "customer": "c", "base": "m" },
@@ -268,7 +269,7 @@
     for (int times = 0; times < 3; ++times)
         fleet.publish({ 0, 1, 2 }, bad);
     fleet.publish({ 0, 1, 2 }, newAdapter(3));
-    fleet.pass(1);
+    fleet.advanceTime(1);
     EXPECT_TRUE(fleet.isEverywhere(1));
     for (const HostState &host : fleet.hosts) {
         EXPECT_EQ(host.tickets.refused.value, 2U);
@@ -277,53 +278,54 @@
         EXPECT_FALSE(host.inForce.adapters.contains(AdapterRef{ "good@1" }));
     }
     fleet.publish({ 0 }, newAdapter(2));
-    fleet.pass(1);
+    fleet.advanceTime(1);
     EXPECT_TRUE(fleet.isEverywhere(3));
     EXPECT_EQ(fleet.hosts[2].tickets.refused.value, 0U);
 }
 
-// One host of a zone that lost the service but not its neighbours hears of a withdrawn key from
-// them, within the second; only one host has read the ticket.
+// Only one host can read the service. The other hosts must get the withdrawal of a key from it or
+// from each other within one second.
 TEST(TicketsOnHosts, ATicketReachesEveryHostByRelay)
 {
-    const char *asked = std::getenv("AZUREWELL_HOSTS"); // a larger run by hand
+    // sets another number of hosts for manual runs
+    const char *asked = std::getenv("AZUREWELL_HOSTS");
     const std::size_t count = asked ? std::strtoull(asked, nullptr, 10) : 30;
     Fleet fleet(count);
-    fleet.pass(1);
+    fleet.advanceTime(1);
     fleet.publish({ 0 }, firstTicket(10));
-    fleet.pass(1);
+    fleet.advanceTime(1);
     fleet.pushes = 0;
     fleet.publish({ 0 }, withdrawal(2));
     int steps = 0;
     for (; steps < 500 && !fleet.isEverywhere(2); ++steps)
-        fleet.pass(0.01);
+        fleet.advanceTime(0.01);
     EXPECT_LT(steps, 100);
     EXPECT_LT(fleet.pushes, 2 * count) << "each host asks one peer at a time";
     RecordProperty("milliseconds", std::to_string(steps * 10));
     RecordProperty("pushes", std::to_string(fleet.pushes));
 }
 
-// A zone is cut off, and a key is withdrawn on the other side. By default the zone goes on serving
-// what it can, the key included. Operators who fear the lost key more than the lost zone set how
-// long a host may serve without news; then the cut-off hosts refuse in time, and the others, one of
-// which alone hears the service, go on.
-TEST(TicketsOnHosts, ACutOffZoneStopsOnlyWhereTheTicketSaysSo)
+// A zone is disconnected, and a key is withdrawn on the other side. By default the zone continues
+// to serve, the key included. Operators who prefer refusals to serving a lost key limit how long a
+// host may serve without updates; then the disconnected hosts must refuse in time, and the others,
+// of which only one reaches the service, must continue.
+TEST(TicketsOnHosts, ADisconnectedZoneStopsServingOnlyIfConfigured)
 {
     for (const bool isSet : { false, true }) {
         Fleet fleet(4);
-        fleet.pass(1);
+        fleet.advanceTime(1);
         fleet.publish({ 0 }, firstTicket(1));
         const std::string setting = R"("fleet": { "longest_without_news": 20 })";
         fleet.publish({ 0 }, isSet ? ticket(2, setting) : newAdapter(2));
-        fleet.give(0, PlatformHeard{});
-        fleet.pass(1);
-        fleet.cutOff = { 2, 3 };
+        fleet.deliver(0, PlatformHeard{});
+        fleet.advanceTime(1);
+        fleet.disconnected = { 2, 3 };
         fleet.publish({ 0 }, withdrawal(3));
         for (int second = 0; second < 30; ++second) {
-            fleet.give(0, PlatformHeard{});
-            fleet.pass(1);
+            fleet.deliver(0, PlatformHeard{});
+            fleet.advanceTime(1);
         }
-        EXPECT_FALSE(isWithoutNews(fleet.hosts[1], fleet.now)) << "it has its news from a peer";
+        EXPECT_FALSE(isWithoutNews(fleet.hosts[1], fleet.now)) << "a peer relays the updates";
         EXPECT_EQ(fleet.ticketAt(1), 3U);
         EXPECT_EQ(isWithoutNews(fleet.hosts[2], fleet.now), isSet);
         RequestArrived request;
@@ -331,20 +333,20 @@
         request.key = key;
         request.adapter = AdapterRef{ "a0@1" };
         request.deadline = fleet.now + fromSeconds(5);
-        fleet.give(2, request);
+        fleet.deliver(2, request);
         EXPECT_EQ(fleet.hosts[2].counters.refusals[ResultCode::HostWithoutNews], isSet ? 1U : 0U);
-        fleet.give(1, request);
+        fleet.deliver(1, request);
         EXPECT_EQ(fleet.hosts[1].counters.refusals[ResultCode::KeyWithdrawn], 1U);
-        fleet.cutOff.clear();
-        fleet.pass(2);
+        fleet.disconnected.clear();
+        fleet.advanceTime(2);
         EXPECT_FALSE(isWithoutNews(fleet.hosts[2], fleet.now));
         EXPECT_EQ(fleet.ticketAt(2), 3U);
     }
 }
 
-// A host starts alone after a long history. It reads the published snapshot in segments and then
-// only the tickets that followed. A second host starts beside one that knows more than the
-// snapshot: that one's state is what comes up, and never the snapshot's.
+// A host starts alone after a long history. It must read the published snapshot in segments and
+// then only the tickets that followed. A second host starts beside one that has newer state than
+// the snapshot: it must start with that state and never with the snapshot's.
 TEST(TicketsOnHosts, APublishedSnapshotReplacesTheHistory)
 {
     StateInForce published;
@@ -354,7 +356,7 @@
     Fleet alone(1);
     for (std::uint32_t segment = 0; segment < segmentCount(published); ++segment) {
         EXPECT_EQ(alone.hosts[0].process, ProcessState::Starting);
-        alone.give(0, SnapshotRead{ writeSegment(published, segment) });
+        alone.deliver(0, SnapshotRead{ writeSegment(published, segment) });
     }
     alone.publish({ 0 }, newAdapter(701));
     EXPECT_EQ(alone.ticketAt(0), 701U);
@@ -364,31 +366,31 @@
 
     Fleet fleet(2);
     for (std::uint32_t segment = 0; segment < segmentCount(published); ++segment)
-        fleet.give(0, SnapshotRead{ writeSegment(published, segment) });
-    fleet.pass(2);
+        fleet.deliver(0, SnapshotRead{ writeSegment(published, segment) });
+    fleet.advanceTime(2);
     fleet.publish({ 0 }, withdrawal(701));
-    fleet.begin(1, 2);
+    fleet.start(1, 2);
     for (std::uint32_t segment = 0; segment < segmentCount(published); ++segment)
-        fleet.give(1, SnapshotRead{ writeSegment(published, segment) });
+        fleet.deliver(1, SnapshotRead{ writeSegment(published, segment) });
     bool hasWorked = false;
     for (int step = 0; step < 300; ++step) {
         hasWorked = hasWorked || fleet.ticketAt(1) == 700;
-        fleet.pass(0.01);
+        fleet.advanceTime(0.01);
     }
     EXPECT_FALSE(hasWorked);
     EXPECT_EQ(fleet.ticketAt(1), 701U);
 }
 
-// All hosts hear of a new ticket at the same moment. Three of each zone read its value; the others
-// wait for those, and read it themselves only where none of the three has passed it on.
+// All hosts are notified of a new ticket at the same moment. Three of each zone read its value; the
+// others wait for those, and read it themselves only if none of the three has relayed it.
 TEST(TicketsOnHosts, AFewHostsOfAZoneReadANewTicket)
 {
     Fleet fleet(20);
-    fleet.pass(1);
+    fleet.advanceTime(1);
     for (std::uint64_t number = 1; number <= 50; ++number) {
         std::size_t readers = 0;
         for (const HostState &host : fleet.hosts)
             readers += ticketReadDelay(host, TicketNumber{ number }) == Span{} ? 1 : 0;
-        ASSERT_EQ(readers, readersInZone) << "ticket " << number;
+        ASSERT_EQ(readers, ticketReadersPerZone) << "ticket " << number;
     }
 }
