--- a/packages/calls/include/azurewell/calls/call_ledger.h
+++ b/packages/calls/include/azurewell/calls/call_ledger.h
@@ -75,7 +75,7 @@
 {
     CallPhase phase = CallPhase::Permitted;
     RequestId holder;
-    Instant permitEnds;      ///< The holder does not send the call from then on.
+    Instant permitExpiresAt; ///< The holder does not send the call from then on.
     Instant outcomeDeadline; ///< If no report arrives by then, the outcome is unknown.
     Instant retainedUntil; ///< The record may be evicted from then on, which raises the watermark.
     HeldAnswer answer;
--- a/packages/calls/src/call_ledger.cpp
+++ b/packages/calls/src/call_ledger.cpp
@@ -67,7 +67,7 @@
     const Span length = std::min(maxPermitDuration, ask.untilDeadline);
     record.phase = CallPhase::Permitted;
     record.holder = ask.request;
-    record.permitEnds = now + length;
+    record.permitExpiresAt = now + length;
     record.outcomeDeadline = now + ask.untilDeadline + outcomeReportGrace;
     record.retainedUntil = record.outcomeDeadline + callRetention;
     return PermitAnswer{ PermitVerdict::Granted, length, {} };
--- a/packages/host/include/azurewell/host/call_state.h
+++ b/packages/host/include/azurewell/host/call_state.h
@@ -17,13 +17,13 @@
     Instant firstSentAt;
     Instant nextSendAt;
     Instant replyDeadline;
-    Instant sendBefore; ///< Set when granted: the call must not be sent from then on.
+    Instant sendDeadline; ///< Set when granted: the call must not be sent from then on.
     bool isGranted = false;
 };
 
 /// The outcome of a request that had requested a permit. Sent to the issuer until it is
 /// acknowledged, and kept for `outcomeReportTimeout` to answer grants that arrive late.
-struct SettledCall
+struct FinishedCall
 {
     HostId issuer;
     OutcomeReport report;
@@ -37,8 +37,8 @@
 {
     CallLedger ledger; ///< Records of the call numbers that this incarnation issued.
     std::map<RequestId, PendingPermit> pendingPermits;
-    std::map<RequestId, SettledCall> settled;
-    std::deque<RequestId> settledOrder; ///< Keys of `settled`, oldest first.
+    std::map<RequestId, FinishedCall> finishedCalls;
+    std::deque<RequestId> finishedOrder; ///< Keys of `finishedCalls`, oldest first.
     Instant nextUpdate;
     /// Permit replies received, by verdict.
     std::array<std::uint64_t, permitVerdictCount> receivedVerdicts{};
--- a/packages/host/include/azurewell/host/host_state.h
+++ b/packages/host/include/azurewell/host/host_state.h
@@ -49,10 +49,10 @@
     RequestPhase phase = RequestPhase::WaitingForTokens;
     /// The request is refused if the customer's rate has not admitted it by then.
     Instant tokenDeadline;
-    Tokens generated;    ///< Tokens forwarded to the caller.
-    UpstreamId upstream; ///< Upstream at which the request waits or runs.
-    HostId coordinator;  ///< Coordinator from which the slot was requested.
-    Instant leaseEnds;   ///< End of the slot's lease.
+    Tokens generated;       ///< Tokens forwarded to the caller.
+    UpstreamId upstream;    ///< Upstream at which the request waits or runs.
+    HostId coordinator;     ///< Coordinator from which the slot was requested.
+    Instant leaseExpiresAt; ///< End of the slot's lease.
     /// Number of attempts to obtain a slot; grants of earlier rounds are ignored.
     std::uint32_t round = 0;
     std::uint64_t renewalSerial = 0; ///< Serial of the newest renewal that listed the request.
@@ -86,8 +86,9 @@
     AdapterRef adapter;
     Tokens charged;
     double weight = 1.0;
-    Instant leaseEnds;
-    Instant since; ///< When the slot was granted; 0 for a slot that a previous coordinator granted.
+    Instant leaseExpiresAt;
+    Instant grantedAt; ///< When the slot was granted; 0 for a slot that a previous coordinator
+                       ///< granted.
     std::uint32_t round = 0;
     /// Set when the lease has ended: cancellation is requested from the engine until then, and the
     /// adapter stays pinned.
@@ -128,11 +129,11 @@
 };
 
 /// Health of an upstream; UpstreamTable has the data for choosing among upstreams.
-struct KnownUpstream
+struct UpstreamHealth
 {
     UpstreamState state = UpstreamState::Unknown;
     Instant ejectedUntil;
-    std::uint32_t failuresInARow = 0;
+    std::uint32_t consecutiveFailures = 0;
 };
 
 /// The complete state of one host. It is lost when the process ends; no guarantee depends on its
@@ -156,7 +157,7 @@
     std::unordered_map<RequestId, RequestRecord> requests;
     ShareHolder shares; ///< This host's shares of every customer's rate and burst.
     std::deque<RequestId> waitingForTokens; ///< Oldest first.
-    std::unordered_map<UpstreamId, KnownUpstream> upstreams;
+    std::unordered_map<UpstreamId, UpstreamHealth> upstreams;
     UpstreamTable routing;
     LoadPacer loadPacer;
     std::map<UpstreamId, CoordinatedEngine> kept;
--- a/packages/host/src/attempts.cpp
+++ b/packages/host/src/attempts.cpp
@@ -113,7 +113,7 @@
 
 void onAttemptProgress(Step &step, const AttemptProgress &event)
 {
-    RequestRecord *record = recordOf(step.state, event.request);
+    RequestRecord *record = findRequest(step.state, event.request);
     if (!record || record->attempt != event.attempt || event.generated <= record->generated)
         return;
     settle(step.state.shares, event.request, event.generated - record->generated, step.now);
@@ -126,7 +126,7 @@
 void onAttemptEnded(Step &step, const AttemptEnded &event)
 {
     onAttemptProgress(step, AttemptProgress{ event.request, event.attempt, event.generated });
-    RequestRecord *record = recordOf(step.state, event.request);
+    RequestRecord *record = findRequest(step.state, event.request);
     if (!record || record->attempt != event.attempt || record->phase != RequestPhase::Running)
         return;
     recordUpstreamOutcome(step, record->upstream, event.outcome);
@@ -134,7 +134,7 @@
         ++step.state.counters.completed;
         recordStreamRate(step, *record, true);
         if (needsPermit(*record))
-            settleCall(step, *record, CallOutcome::Done, event.answer);
+            reportOutcome(step, *record, CallOutcome::Done, event.answer);
         endRequest(step, *record);
         return;
     }
--- a/packages/host/src/calls.cpp
+++ b/packages/host/src/calls.cpp
@@ -16,32 +16,33 @@
 constexpr Span outcomeReportTimeout = fromSeconds(30);
 /// Maximum number of reports held. Beyond it the oldest is dropped: its call then counts as
 /// unknown, which is safe.
-constexpr std::size_t maxSettledCalls = 4096;
+constexpr std::size_t maxFinishedCalls = 4096;
 /// Fraction by which the requester shortens a permit, to allow for clock drift.
 constexpr double permitDriftMargin = 0.02;
 constexpr std::uint32_t maxNumbersPerRequest = 100;
 constexpr Span permitRetryAfter = fromSeconds(1);
 
-void dropOldSettled(Step &step)
+void dropOldFinished(Step &step)
 {
     CallState &calls = step.state.calls;
-    while (!calls.settledOrder.empty()) {
-        const auto oldest = calls.settled.find(calls.settledOrder.front());
-        if (oldest->second.retainedUntil > step.now && calls.settled.size() <= maxSettledCalls)
+    while (!calls.finishedOrder.empty()) {
+        const auto oldest = calls.finishedCalls.find(calls.finishedOrder.front());
+        if (oldest->second.retainedUntil > step.now
+            && calls.finishedCalls.size() <= maxFinishedCalls)
             return;
-        calls.settled.erase(oldest);
-        calls.settledOrder.pop_front();
+        calls.finishedCalls.erase(oldest);
+        calls.finishedOrder.pop_front();
     }
 }
 
-void keepSettled(Step &step, SettledCall settled)
+void keepFinished(Step &step, FinishedCall finished)
 {
     CallState &calls = step.state.calls;
-    const RequestId id = settled.report.request;
-    settled.retainedUntil = step.now + outcomeReportTimeout;
-    calls.settled[id] = std::move(settled);
-    calls.settledOrder.push_back(id);
-    dropOldSettled(step);
+    const RequestId id = finished.report.request;
+    finished.retainedUntil = step.now + outcomeReportTimeout;
+    calls.finishedCalls[id] = std::move(finished);
+    calls.finishedOrder.push_back(id);
+    dropOldFinished(step);
 }
 
 /// Ends a permit request that the issuer has declined. Nothing is reported, since nothing was
@@ -54,14 +55,14 @@
     const auto permit = calls.pendingPermits.find(record.arrival.request);
     if (permit == calls.pendingPermits.end())
         return;
-    SettledCall settled;
-    settled.issuer = permit->second.issuer;
-    settled.report = OutcomeReport{
+    FinishedCall finished;
+    finished.issuer = permit->second.issuer;
+    finished.report = OutcomeReport{
         record.arrival.callNumber, record.customer, record.arrival.request, CallOutcome::NotRun, {}
     };
-    settled.isAcknowledged = true;
+    finished.isAcknowledged = true;
     calls.pendingPermits.erase(permit);
-    keepSettled(step, std::move(settled));
+    keepFinished(step, std::move(finished));
 }
 
 void refuseCall(Step &step, RequestRecord &record, ResultCode code, RunState runState)
@@ -82,10 +83,10 @@
             && peer->second.incarnation <= parts.incarnation;
 }
 
-void sendReport(Step &step, SettledCall &settled)
+void sendReport(Step &step, FinishedCall &finished)
 {
-    settled.nextSendAt = step.now + resendInterval;
-    sendTo(step, settled.issuer, settled.report);
+    finished.nextSendAt = step.now + resendInterval;
+    sendTo(step, finished.issuer, finished.report);
 }
 
 void onGrant(Step &step, RequestRecord &record, PendingPermit &permit, Span length)
@@ -93,12 +94,12 @@
     if (permit.isGranted)
         return; // a duplicate of the grant
     permit.isGranted = true;
-    permit.sendBefore = permit.firstSentAt + length
+    permit.sendDeadline = permit.firstSentAt + length
             - fromSeconds(toSeconds(length) * permitDriftMargin);
     // This process may have been suspended since it requested the permit. If it sent the call after
     // the permit's end, the call would run although the issuer may have told another host that no
     // request runs it any more.
-    if (step.now >= permit.sendBefore && !step.state.calls.isIgnoringPermitEnd) {
+    if (step.now >= permit.sendDeadline && !step.state.calls.isIgnoringPermitEnd) {
         endRefused(step, record, ResultCode::WaitedTooLong, RunState::NotRun);
         return;
     }
@@ -131,7 +132,7 @@
     }
     for (const RequestId &id : unanswered) {
         ++step.state.calls.unreachable;
-        if (RequestRecord *record = recordOf(step.state, id))
+        if (RequestRecord *record = findRequest(step.state, id))
             refuseCall(step, *record, ResultCode::OutcomeUnknown, RunState::Unknown);
     }
 }
@@ -167,14 +168,14 @@
     step.state.calls.pendingPermits[record.arrival.request] = std::move(permit);
 }
 
-RunState runStateUnsent(Step &step, const RequestRecord &record)
+RunState runStateIfNotSent(Step &step, const RequestRecord &record)
 {
     CallState &calls = step.state.calls;
     if (calls.isAssumingNotRun)
         return RunState::NotRun;
     const auto permit = calls.pendingPermits.find(record.arrival.request);
     if (permit != calls.pendingPermits.end() && permit->second.isGranted) {
-        settleCall(step, record, CallOutcome::NotRun);
+        reportOutcome(step, record, CallOutcome::NotRun);
         return RunState::NotRun;
     }
     const bool isUnused = isCertainlyUnused(calls.ledger, record.arrival.callNumber,
@@ -189,23 +190,23 @@
         return Instant{};
     if (step.state.calls.isIgnoringPermitEnd)
         return record.arrival.deadline;
-    return std::min(permit->second.sendBefore, record.arrival.deadline);
+    return std::min(permit->second.sendDeadline, record.arrival.deadline);
 }
 
-void settleCall(Step &step, const RequestRecord &record, CallOutcome outcome,
-                const HeldAnswer &answer)
+void reportOutcome(Step &step, const RequestRecord &record, CallOutcome outcome,
+                   const HeldAnswer &answer)
 {
     CallState &calls = step.state.calls;
     const auto permit = calls.pendingPermits.find(record.arrival.request);
     if (permit == calls.pendingPermits.end())
         return; // no permit was requested, or the outcome was reported before
-    SettledCall settled;
-    settled.issuer = permit->second.issuer;
-    settled.report = OutcomeReport{ record.arrival.callNumber, record.customer,
-                                    record.arrival.request, outcome, answer };
+    FinishedCall finished;
+    finished.issuer = permit->second.issuer;
+    finished.report = OutcomeReport{ record.arrival.callNumber, record.customer,
+                                     record.arrival.request, outcome, answer };
     calls.pendingPermits.erase(permit);
-    sendReport(step, settled);
-    keepSettled(step, std::move(settled));
+    sendReport(step, finished);
+    keepFinished(step, std::move(finished));
 }
 
 void onPermitAsk(Step &step, const HostId &requester, const PermitAsk &ask)
@@ -218,13 +219,13 @@
 {
     CallState &calls = step.state.calls;
     const auto permit = calls.pendingPermits.find(reply.request);
-    RequestRecord *record = recordOf(step.state, reply.request);
+    RequestRecord *record = findRequest(step.state, reply.request);
     if (permit == calls.pendingPermits.end() || !record
         || message.sender != permit->second.issuer) {
         // The grant arrived after the request had ended: report the outcome to the issuer again.
-        const auto settled = calls.settled.find(reply.request);
-        if (settled != calls.settled.end() && reply.answer.verdict == PermitVerdict::Granted)
-            sendReport(step, settled->second);
+        const auto finished = calls.finishedCalls.find(reply.request);
+        if (finished != calls.finishedCalls.end() && reply.answer.verdict == PermitVerdict::Granted)
+            sendReport(step, finished->second);
         return;
     }
     ++calls.receivedVerdicts[static_cast<std::size_t>(reply.answer.verdict)];
@@ -264,11 +265,11 @@
 
 void onOutcomeAck(Step &step, const OutcomeAck &ack)
 {
-    const auto settled = step.state.calls.settled.find(ack.request);
-    if (settled == step.state.calls.settled.end())
+    const auto finished = step.state.calls.finishedCalls.find(ack.request);
+    if (finished == step.state.calls.finishedCalls.end())
         return;
-    settled->second.isAcknowledged = true;
-    settled->second.report.answer = HeldAnswer{}; // the issuer has stored it
+    finished->second.isAcknowledged = true;
+    finished->second.report.answer = HeldAnswer{}; // the issuer has stored it
 }
 
 void issueNumbers(Step &step, const RequestArrived &event, const CustomerId &customer)
@@ -289,10 +290,10 @@
         return;
     calls.nextUpdate = step.now + resendInterval;
     updatePermitRequests(step);
-    dropOldSettled(step);
-    for (auto &[id, settled] : calls.settled) {
-        if (!settled.isAcknowledged && settled.nextSendAt <= step.now)
-            sendReport(step, settled);
+    dropOldFinished(step);
+    for (auto &[id, finished] : calls.finishedCalls) {
+        if (!finished.isAcknowledged && finished.nextSendAt <= step.now)
+            sendReport(step, finished);
     }
     evictExpiredCalls(calls.ledger, step.now);
 }
@@ -303,7 +304,7 @@
     const auto isUnacknowledged = [](const auto &entry) {
         return !entry.second.isAcknowledged;
     };
-    return std::any_of(calls.settled.begin(), calls.settled.end(), isUnacknowledged)
+    return std::any_of(calls.finishedCalls.begin(), calls.finishedCalls.end(), isUnacknowledged)
             || openCalls(calls.ledger, step.now) > 0;
 }
 
--- a/packages/host/src/internal.h
+++ b/packages/host/src/internal.h
@@ -68,7 +68,7 @@
 void endRequest(Step &step, RequestRecord &record);
 /// Sends a service call to a back end.
 void callService(Step &step, RequestRecord &record);
-RequestRecord *recordOf(HostState &state, const RequestId &id);
+RequestRecord *findRequest(HostState &state, const RequestId &id);
 
 // tickets.cpp: tickets from the platform and from peers.
 void onTicketRead(Step &step, const std::string &text);
@@ -94,12 +94,12 @@
 void requestPermit(Step &step, RequestRecord &record);
 /// The run state that a refusal may report for a call with a number that this host has not sent
 /// itself.
-RunState runStateUnsent(Step &step, const RequestRecord &record);
+RunState runStateIfNotSent(Step &step, const RequestRecord &record);
 /// Until when the call may be sent; 0 if the host has no permit for it.
 Instant permitEnd(const Step &step, const RequestRecord &record);
 /// Reports the outcome of the call to the issuer, once.
-void settleCall(Step &step, const RequestRecord &record, CallOutcome outcome,
-                const HeldAnswer &answer = {});
+void reportOutcome(Step &step, const RequestRecord &record, CallOutcome outcome,
+                   const HeldAnswer &answer = {});
 void onPermitAsk(Step &step, const HostId &requester, const PermitAsk &ask);
 void onPermitReply(Step &step, const PeerMessage &message, const PermitReply &reply);
 void onOutcomeReport(Step &step, const HostId &holder, const OutcomeReport &report);
--- a/packages/host/src/keepers.cpp
+++ b/packages/host/src/keepers.cpp
@@ -13,7 +13,7 @@
 constexpr Span suspensionThreshold = fromSeconds(1);
 /// After a suspension a host receives for two heartbeat intervals before it grants or promises
 /// anything.
-constexpr Span listenTime = fromSeconds(1);
+constexpr Span listenDuration = fromSeconds(1);
 /// Interval of membership updates: every fifth tick. Missing heartbeats are not detected more
 /// precisely.
 constexpr Span membershipUpdateInterval = fromSeconds(0.05);
@@ -151,7 +151,7 @@
         // by themselves; the heartbeat deadlines of peers must be extended, or every peer would
         // seem unreachable.
         ++step.state.counters.lateWakes;
-        coordination.listenUntil = step.now + listenTime;
+        coordination.listenUntil = step.now + listenDuration;
         coordination.hasAllPromises = false;
         extendHeartbeatDeadlines(step.state.membership, step.now);
         endLostSlots(step);
--- a/packages/host/src/requests.cpp
+++ b/packages/host/src/requests.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-RequestRecord *recordOf(HostState &state, const RequestId &id)
+RequestRecord *findRequest(HostState &state, const RequestId &id)
 {
     const auto found = state.requests.find(id);
     return found == state.requests.end() ? nullptr : &found->second;
@@ -63,7 +63,8 @@
     uncountRouted(step, record);
     // unless an outcome was reported before, only a call never sent is "not run"
     if (needsPermit(record))
-        settleCall(step, record, record.attempt == 0 ? CallOutcome::NotRun : CallOutcome::Unknown);
+        reportOutcome(step, record,
+                      record.attempt == 0 ? CallOutcome::NotRun : CallOutcome::Unknown);
     releaseSlot(step, record, record.arrival.promptTokens + record.generated);
     release(state.shares, record.arrival.request, step.now);
     const RequestId id = record.arrival.request; // a copy: the record holds the original
@@ -74,11 +75,11 @@
 void endRefused(Step &step, RequestRecord &record, ResultCode code, RunState runState)
 {
     if (needsPermit(record) && runState == RunState::NotRun)
-        runState = runStateUnsent(step, record);
+        runState = runStateIfNotSent(step, record);
     else if (needsPermit(record))
-        settleCall(step, record, CallOutcome::Unknown);
-    const bool isUntrue = runState == RunState::NotRun && record.mayHaveRun;
-    refuse(step, record.arrival.request, code, isUntrue ? RunState::Unknown : runState,
+        reportOutcome(step, record, CallOutcome::Unknown);
+    const bool isContradicted = runState == RunState::NotRun && record.mayHaveRun;
+    refuse(step, record.arrival.request, code, isContradicted ? RunState::Unknown : runState,
            defaultRetryAfter);
     endRequest(step, record);
 }
@@ -113,15 +114,15 @@
         endRefused(step, record, ResultCode::NoUpstream, RunState::NotRun);
         return;
     }
-    const Instant sendBefore = needsPermit(record) ? permitEnd(step, record)
-                                                   : record.arrival.deadline;
-    if (sendBefore <= step.now) {
+    const Instant sendDeadline = needsPermit(record) ? permitEnd(step, record)
+                                                     : record.arrival.deadline;
+    if (sendDeadline <= step.now) {
         endRefused(step, record, ResultCode::WaitedTooLong, RunState::NotRun);
         return;
     }
     record.upstream = *backEnd;
     countRouted(step, record);
-    dispatch(step, record, sendBefore);
+    dispatch(step, record, sendDeadline);
 }
 
 namespace {
@@ -140,7 +141,8 @@
 void refuseOverRate(Step &step, RequestRecord &record, Instant expected)
 {
     const Span wait = expected == never ? defaultRetryAfter : expected - step.now;
-    const RunState runState = needsPermit(record) ? runStateUnsent(step, record) : RunState::NotRun;
+    const RunState runState = needsPermit(record) ? runStateIfNotSent(step, record)
+                                                  : RunState::NotRun;
     refuse(step, record.arrival.request, ResultCode::RateExceeded, runState,
            std::max(wait, defaultRetryAfter));
     endRequest(step, record);
@@ -190,22 +192,23 @@
 {
     HostState &state = step.state;
     ++state.counters.arrived;
-    const RunState unsent = runStateAtArrival(event);
+    const RunState initialRunState = runStateAtArrival(event);
     const bool isInGrace = state.process == ProcessState::Draining && step.now < state.servesUntil;
     if (state.process != ProcessState::Serving && !isInGrace) {
         const bool isStarting = state.process == ProcessState::Starting;
         refuse(step, event.request,
-               isStarting ? ResultCode::HostStarting : ResultCode::HostDraining, unsent,
+               isStarting ? ResultCode::HostStarting : ResultCode::HostDraining, initialRunState,
                defaultRetryAfter);
         return;
     }
     if (isWithoutNews(state, step.now)) {
-        refuse(step, event.request, ResultCode::HostWithoutNews, unsent, defaultRetryAfter);
+        refuse(step, event.request, ResultCode::HostWithoutNews, initialRunState,
+               defaultRetryAfter);
         return;
     }
     const Result<const Customer *> customer = customerOf(state.inForce, event.key);
     if (!customer) {
-        refuse(step, event.request, customer.error().code, unsent);
+        refuse(step, event.request, customer.error().code, initialRunState);
         return;
     }
     if (event.kind == RequestKind::CallNumbers) {
@@ -219,24 +222,24 @@
         const Result<AdapterView> adapter = adapterFor(state.inForce, record.customer,
                                                        event.adapter);
         if (!adapter) {
-            refuse(step, event.request, adapter.error().code, unsent);
+            refuse(step, event.request, adapter.error().code, initialRunState);
             return;
         }
     } else {
         const Result<const Service *> service = serviceFor(state.inForce, *customer.value(),
                                                            event.service);
         if (!service) {
-            refuse(step, event.request, service.error().code, unsent);
+            refuse(step, event.request, service.error().code, initialRunState);
             return;
         }
         record.isIdempotent = event.isSafeMethod || service.value()->isIdempotent;
     }
     if (costOf(event) > largestRequest(state.shares, record.customer)) {
-        refuse(step, event.request, ResultCode::ExceedsBurst, unsent);
+        refuse(step, event.request, ResultCode::ExceedsBurst, initialRunState);
         return;
     }
     if (state.shares.isSuperseded) {
-        refuse(step, event.request, ResultCode::NoShare, unsent, defaultRetryAfter);
+        refuse(step, event.request, ResultCode::NoShare, initialRunState, defaultRetryAfter);
         return;
     }
     RequestRecord &stored = state.requests[event.request] = std::move(record);
@@ -249,7 +252,7 @@
     const std::deque<RequestId> waiting = std::exchange(state.waitingForTokens, {});
     std::map<CustomerId, Tokens> stillWaiting;
     for (const RequestId &id : waiting) {
-        RequestRecord *record = recordOf(state, id);
+        RequestRecord *record = findRequest(state, id);
         if (!record)
             continue;
         const CustomerId customer = record->customer; // a copy: the record may end below
@@ -270,7 +273,7 @@
 
 void endOverdue(Step &step, const RequestId &request)
 {
-    RequestRecord *record = recordOf(step.state, request);
+    RequestRecord *record = findRequest(step.state, request);
     if (!record)
         return;
     const bool isRunning = record->phase == RequestPhase::Running;
@@ -300,7 +303,7 @@
 
 void onCallerLeft(Step &step, const CallerLeft &event)
 {
-    RequestRecord *record = recordOf(step.state, event.request);
+    RequestRecord *record = findRequest(step.state, event.request);
     if (!record)
         return;
     if (record->phase == RequestPhase::Running && needsPermit(*record)) {
--- a/packages/host/src/slot_requests.cpp
+++ b/packages/host/src/slot_requests.cpp
@@ -128,7 +128,7 @@
 
 void onSlotGrant(Step &step, const HostId &coordinator, const SlotGrant &grant)
 {
-    RequestRecord *record = recordOf(step.state, grant.request);
+    RequestRecord *record = findRequest(step.state, grant.request);
     const bool isOurs = record && record->round == grant.round && record->coordinator == coordinator
             && record->upstream == grant.engine;
     if (isOurs && record->phase == RequestPhase::Running)
@@ -149,13 +149,13 @@
         requestOtherSlot(step, *record);
         return;
     }
-    record->leaseEnds = ends;
+    record->leaseExpiresAt = ends;
     dispatch(step, *record, ends);
 }
 
 void onSlotRefusal(Step &step, const HostId &coordinator, const SlotRefusal &refusal)
 {
-    RequestRecord *record = recordOf(step.state, refusal.request);
+    RequestRecord *record = findRequest(step.state, refusal.request);
     if (!record || record->phase != RequestPhase::WaitingForSlot || record->round != refusal.round
         || record->upstream != refusal.engine || record->coordinator != coordinator)
         return;
@@ -206,7 +206,8 @@
 {
     for (auto &[id, record] : step.state.requests) {
         const bool isLost = record.phase == RequestPhase::Running && !record.isCancelled
-                && record.arrival.kind == RequestKind::Completion && record.leaseEnds <= step.now;
+                && record.arrival.kind == RequestKind::Completion
+                && record.leaseExpiresAt <= step.now;
         if (isLost)
             cancelAttempt(step, record);
     }
@@ -217,12 +218,12 @@
     const Instant ends = leaseEnd(step.state, renewed.basis, renewed.leaseLength);
     const std::set<RequestId> lost(renewed.lost.begin(), renewed.lost.end());
     for (auto &[id, record] : step.state.requests) {
-        const bool isMeant = record.phase == RequestPhase::Running
+        const bool isInRenewal = record.phase == RequestPhase::Running
                 && record.coordinator == coordinator && record.upstream == renewed.engine
                 && record.renewalSerial == renewed.basis;
-        if (isMeant && !lost.contains(id))
-            record.leaseEnds = std::max(record.leaseEnds, ends);
-        else if (isMeant && !record.isCancelled)
+        if (isInRenewal && !lost.contains(id))
+            record.leaseExpiresAt = std::max(record.leaseExpiresAt, ends);
+        else if (isInRenewal && !record.isCancelled)
             cancelAttempt(step, record);
     }
 }
--- a/packages/host/src/slots.cpp
+++ b/packages/host/src/slots.cpp
@@ -69,18 +69,18 @@
     slot.adapter = request.adapter;
     slot.charged = request.cost;
     slot.weight = request.weight;
-    slot.leaseEnds = step.now + slotLease;
+    slot.leaseExpiresAt = step.now + slotLease;
     slot.round = engineState.rounds[request.request];
     slot.nextCancelAt = never;
     engineState.rounds.erase(request.request);
-    slot.since = step.now;
+    slot.grantedAt = step.now;
     engineState.granted[request.request] = slot;
     pin(engineState.adapters, request.adapter, step.now);
     sendGrant(step, engineState, engine, request.request, slot);
 }
 
-void orderStep(Step &step, CoordinatedEngine &engineState, const Upstream &engine,
-               const PlacementStep &placement)
+void sendEngineOrder(Step &step, CoordinatedEngine &engineState, const Upstream &engine,
+                     const PlacementStep &placement)
 {
     HostState &state = step.state;
     const bool isLoad = placement.kind == PlacementStep::Kind::Load;
@@ -99,7 +99,7 @@
 {
     if (slot.nextCancelAt != never)
         return;
-    slot.leaseEnds = now;
+    slot.leaseExpiresAt = now;
     slot.nextCancelAt = now;
     slot.unpinAt = now + pause;
 }
@@ -112,7 +112,7 @@
 {
     for (auto entry = engineState.granted.begin(); entry != engineState.granted.end();) {
         GrantedSlot &slot = entry->second;
-        if (slot.leaseEnds <= step.now && slot.nextCancelAt == never) {
+        if (slot.leaseExpiresAt <= step.now && slot.nextCancelAt == never) {
             ++step.state.counters.leasesExpired;
             beginCancelling(slot, step.now, cancelTime);
         }
@@ -256,7 +256,7 @@
         const bool isHeld = placement.kind == PlacementStep::Kind::Load && !mayOrderLoad(step);
         if (placement.kind == PlacementStep::Kind::Nothing || isHeld)
             return;
-        orderStep(step, engineState, engine, placement);
+        sendEngineOrder(step, engineState, engine, placement);
     }
 }
 
@@ -282,7 +282,7 @@
         const bool isRepeat = granted->second.round == ask.round
                 && granted->second.nextCancelAt == never;
         if (isRepeat) // the grant was lost in transit
-            granted->second.leaseEnds = step.now + slotLease;
+            granted->second.leaseExpiresAt = step.now + slotLease;
         if (isRepeat && mayGrant(step.state, *engine, step.now))
             sendGrant(step, engineState, engine->id, ask.request, granted->second);
         return;
@@ -334,7 +334,7 @@
     if (found != engineState.granted.end()) {
         if (found->second.nextCancelAt != never || found->second.round != slot.round)
             return false;
-        found->second.leaseEnds = step.now + slotLease;
+        found->second.leaseExpiresAt = step.now + slotLease;
         return true;
     }
     const auto adapter = engineState.adapters.adapters.find(slot.adapter);
@@ -347,7 +347,7 @@
     GrantedSlot taken;
     taken.requester = requester;
     taken.adapter = slot.adapter;
-    taken.leaseEnds = step.now + slotLease;
+    taken.leaseExpiresAt = step.now + slotLease;
     taken.round = slot.round;
     taken.nextCancelAt = never;
     engineState.granted[slot.request] = taken;
@@ -389,8 +389,8 @@
         && slot->second.requester == requester) {
         const GrantedSlot &granted = slot->second;
         const bool isEnding = granted.nextCancelAt != never;
-        if (!isEnding && release.used.count > 0 && granted.since > Instant{})
-            noteService(engineState->second.rate, granted.charged, step.now - granted.since);
+        if (!isEnding && release.used.count > 0 && granted.grantedAt > Instant{})
+            noteService(engineState->second.rate, granted.charged, step.now - granted.grantedAt);
         if (!isEnding)
             correctCharge(engineState->second.queue, granted.customer, granted.weight,
                           granted.charged, release.used);
--- a/packages/host/src/tickets.cpp
+++ b/packages/host/src/tickets.cpp
@@ -206,8 +206,8 @@
 {
     TicketState &tickets = step.state.tickets;
     ++tickets.segmentRequests;
-    const bool isThere = isUsable(step.state.membership, tickets.snapshotSender);
-    if (!isThere || tickets.segmentRequests > maxSegmentRequests) {
+    const bool isSenderUsable = isUsable(step.state.membership, tickets.snapshotSender);
+    if (!isSenderUsable || tickets.segmentRequests > maxSegmentRequests) {
         tickets.assembly = SnapshotAssembly{};
         tickets.segmentRequests = 0;
         return false;
--- a/packages/host/src/upstreams.cpp
+++ b/packages/host/src/upstreams.cpp
@@ -63,25 +63,25 @@
 
 void setUpstreamState(Step &step, const UpstreamId &id, UpstreamEvent event)
 {
-    KnownUpstream &upstream = step.state.upstreams[id];
+    UpstreamHealth &upstream = step.state.upstreams[id];
     upstream.state = advance(step.state.charts.upstream, upstream.state, event);
     setState(step.state.routing, id, upstream.state);
 }
 
 void recordUpstreamOutcome(Step &step, const UpstreamId &id, AttemptOutcome outcome)
 {
-    KnownUpstream &upstream = step.state.upstreams[id];
+    UpstreamHealth &upstream = step.state.upstreams[id];
     if (outcome == AttemptOutcome::Cancelled)
         return; // says nothing about the upstream
     if (outcome == AttemptOutcome::Done) {
-        upstream.failuresInARow = 0;
+        upstream.consecutiveFailures = 0;
         setUpstreamState(step, id, UpstreamEvent::Answered);
         return;
     }
     if (outcome == AttemptOutcome::Mismatch)
         ++step.state.counters.answerMismatches;
-    ++upstream.failuresInARow;
-    if (upstream.failuresInARow >= failuresToEject
+    ++upstream.consecutiveFailures;
+    if (upstream.consecutiveFailures >= failuresToEject
         && accepts(step.state.charts.upstream, upstream.state, UpstreamEvent::Failed)) {
         setUpstreamState(step, id, UpstreamEvent::Failed);
         upstream.ejectedUntil = step.now + ejectionDuration;
--- a/packages/host/tests/call_world.cpp
+++ b/packages/host/tests/call_world.cpp
@@ -193,7 +193,7 @@
         const bool isPermitted = record != ofCustomer.records.end()
                 && record->second.holder == send.order.request
                 && record->second.phase == CallPhase::Permitted
-                && this->clockOf(host) < record->second.permitEnds;
+                && this->clockOf(host) < record->second.permitExpiresAt;
         if (!isPermitted)
             this->violations.push_back("sent without a permit in force: " + number.value);
     }
