--- a/packages/limits/include/azurewell/limits/loan_wallet.h
+++ b/packages/limits/include/azurewell/limits/loan_wallet.h
@@ -6,46 +6,47 @@
 
 namespace azurewell {
 
-/// What this host has borrowed for one customer from one life of a seat.
-struct LoanWallet
+/// The borrower's side of a loan account: what this host has borrowed for one customer from one
+/// incarnation of a lender.
+struct BorrowerAccount
 {
     SeatId seat;
     HostLife lender;
-    Tokens available;    ///< Not reserved by any request.
-    Tokens reserved;     ///< Reserved by admitted requests and not made.
-    Instant usableUntil; ///< `available` must not be reserved after this.
-    LoanReport report;   ///< To be told to the lender.
-    LoanReport told;     ///< What was told last.
-    Instant nextReport;  ///< Not before this, so that reports go in batches.
-    std::uint64_t askSerial = 0;
-    Tokens asked; ///< By the open ask; zero where none is open.
-    Instant askSentAt;
-    Instant askGivenUpAt;
-    Instant nextAsk;            ///< A lender that gave too little is left alone until then.
-    std::optional<Tokens> left; ///< What the lender could still lend at `leftAt`.
-    Instant leftAt;
+    Tokens available;      ///< Borrowed and not reserved by any request.
+    Tokens reserved;       ///< Reserved by admitted requests and not yet generated.
+    Instant usableUntil;   ///< `available` must not be reserved after this.
+    LoanReport report;     ///< Current totals for the lender.
+    LoanReport sentReport; ///< Totals last sent to the lender.
+    Instant nextReportAt;  ///< No report is sent before this, so that changes are batched.
+    std::uint64_t requestSerial = 0;
+    Tokens requested; ///< By the open request; zero if none is open.
+    Instant requestSentAt;
+    Instant requestDeadline;               ///< The open request times out at this point.
+    Instant nextRequestAt;                 ///< No request is sent to this lender before this.
+    std::optional<Tokens> lenderRemaining; ///< What the lender could lend at `lenderRemainingAt`.
+    Instant lenderRemainingAt;
 };
 
-/// Opens an ask for \a wanted. One is open at a time for each lender.
-ShareAsk openAsk(LoanWallet &wallet, const CustomerId &customer, Tokens wanted,
-                 const ShareSettings &settings, Instant now);
+/// Opens a request for \a wanted tokens. At most one is open for each lender.
+ShareAsk openRequest(BorrowerAccount &account, const CustomerId &customer, Tokens wanted,
+                     const ShareSettings &settings, Instant now);
 
-/// Gives an unanswered ask up; what it brings later is not accepted.
-void giveUpLateAsk(LoanWallet &wallet, Instant now);
+/// Abandons the open request if it has timed out. A grant that arrives later is not accepted.
+void abandonTimedOutRequest(BorrowerAccount &account, Instant now);
 
-/// Takes a grant over. False where it does not answer the open ask: a late or doubled one, whose
-/// tokens the lender takes back when it is told the totals.
-bool acceptGrant(LoanWallet &wallet, const ShareGrant &grant, const ShareSettings &settings,
+/// Credits a grant to the account. Returns false if it does not answer the open request (late or
+/// duplicate); the lender recovers such tokens from the totals in the next report.
+bool acceptGrant(BorrowerAccount &account, const ShareGrant &grant, const ShareSettings &settings,
                  Instant now);
 
-/// Gives back what was not reserved in time.
-void voidUnusable(LoanWallet &wallet, Instant now);
+/// Returns the available tokens if their lease has expired.
+void returnExpired(BorrowerAccount &account, Instant now);
 
-/// Marks \a amount of the available tokens as not needed.
-void returnSurplus(LoanWallet &wallet, Tokens amount);
+/// Returns \a amount of the available tokens to the lender.
+void returnSurplus(BorrowerAccount &account, Tokens amount);
 
-/// A report, if one is due and there is something to tell.
-std::optional<ShareAsk> takeReport(LoanWallet &wallet, const CustomerId &customer,
+/// The next report, or none if it is not due or nothing has changed.
+std::optional<ShareAsk> takeReport(BorrowerAccount &account, const CustomerId &customer,
                                    const ShareSettings &settings, Instant now);
 
 } // namespace azurewell
--- a/packages/limits/include/azurewell/limits/share_holder.h
+++ b/packages/limits/include/azurewell/limits/share_holder.h
@@ -10,7 +10,7 @@
 
 namespace azurewell {
 
-/// Rate and burst of a customer over the whole fleet, by the newest ticket.
+/// Fleet-wide rate and burst of a customer, from the newest ticket.
 struct ShareTerms
 {
     CustomerId customer;
@@ -18,62 +18,62 @@
     double burst = 0;
 };
 
-/// What this host knows of another seat.
+/// What this host knows of another host ordinal.
 struct SeatView
 {
-    HostLife life;                             ///< The newest that was heard.
-    Instant heardUntil;                        ///< Silent from then on.
-    TicketNumber settled;                      ///< From its newest statement.
-    std::optional<std::uint64_t> statedSerial; ///< The query that its newest statement answered.
+    HostLife occupant;                                ///< The newest incarnation seen.
+    Instant reachableUntil;                           ///< Counted as unreachable after this.
+    TicketNumber settled;                             ///< From its newest statement.
+    std::optional<std::uint64_t> lastStatementSerial; ///< Serial of the query it last answered.
 };
 
-/// One customer at this host: the part that this seat owns, and what it has borrowed.
+/// One customer at this host: the share that this host owns, and what it has borrowed.
 struct CustomerShares
 {
     ShareTerms terms;
-    std::vector<SeatPart> owners; ///< By the newest ticket.
-    SharePart part;
-    std::map<HostLife, LoanWallet> wallets;
-    Tokens waiting;    ///< Cost of the requests that wait for tokens here.
+    std::vector<SeatShare> owners; ///< From the newest ticket.
+    OwnedShare part;
+    std::map<HostLife, BorrowerAccount> accounts; ///< By lender.
+    Tokens waiting;    ///< Cost of the requests that wait for tokens at this host.
     double demand = 0; ///< Tokens reserved per second, with exponential decay.
-    Instant demandAt;  ///< When `demand` was last brought up to date.
+    Instant demandAt;  ///< When `demand` was last updated.
 };
 
-/// Where a request's tokens came from. A life without a host stands for the own part.
+/// Where a request's tokens came from. An empty lender stands for the host's own share.
 struct ReservationSource
 {
     HostLife lender;
-    Tokens amount; ///< Not made yet.
+    Tokens amount; ///< Not yet generated.
 };
 
 /// The tokens of one admitted request.
 struct Reservation
 {
     CustomerId customer;
-    std::vector<ReservationSource> sources; ///< Made in this order.
+    std::vector<ReservationSource> sources; ///< Used up in this order.
 };
 
-/// A request that runs on lent tokens must have ended by `endsAt`.
-struct LentRun
+/// A request that runs on lent tokens and must have ended by `endsAt`.
+struct LentRequest
 {
     Instant endsAt;
     RequestId request;
 };
 
-/// Counted for operators.
+/// Counters for operators.
 struct ShareCounters
 {
-    std::uint64_t asks = 0;
+    std::uint64_t asks = 0;        ///< Requests sent to lenders.
     std::uint64_t grants = 0;      ///< Received with tokens.
-    std::uint64_t emptyGrants = 0; ///< The lender had nothing.
-    std::uint64_t lateGrants = 0;  ///< Dropped: too late or doubled.
+    std::uint64_t emptyGrants = 0; ///< Received without tokens.
+    std::uint64_t lateGrants = 0;  ///< Dropped as late or duplicate.
     std::uint64_t borrowedTokens = 0;
     std::uint64_t lentTokens = 0;
-    std::uint64_t distrusted = 0;  ///< Times that this host woke late and doubted its seat.
-    std::uint64_t overdueRuns = 0; ///< Requests ended because their lent tokens ran out of time.
+    std::uint64_t distrusted = 0;  ///< Pauses after which this host had to confirm its ordinal.
+    std::uint64_t overdueRuns = 0; ///< Requests ended because their lent tokens expired.
 };
 
-/// All customers' shares at one host. Reads no clock: every function is handed the time.
+/// All customers' shares at one host. Reads no clock: every function takes the time.
 struct ShareHolder
 {
     ShareSettings settings;
@@ -82,75 +82,81 @@
     HostLife self;
     ZoneSeats zones;
     TicketNumber ticket;
-    /// The first that this host had: one that starts from a snapshot does not know the sizes of
-    /// parts before it, and counts a seat as unheard until that seat has settled it.
+    /// The first ticket that this host applied. A host that starts from a snapshot does not know
+    /// the share sizes before it, so another ordinal's statement counts only once that ordinal has
+    /// settled this ticket.
     std::optional<TicketNumber> firstTicket;
-    TicketNumber settled; ///< All parts here have the size that this ticket gives them.
-
-    std::optional<Instant> earnsFrom; ///< Set by the first event.
-    Instant lastEvent;
-    bool isTrusted = true;     ///< False after a pause, until another host confirms the seat.
-    bool isSuperseded = false; ///< A newer life of this seat exists: this one serves nothing more.
-    Instant mutualDoubtEnds;   ///< From then on the word of doubting hosts counts.
-    std::uint64_t trustSerial = 0; ///< Statements that answer earlier queries confirm nothing.
+    TicketNumber settled; ///< All shares here have the size that this ticket gives them.
+
+    std::optional<Instant> earningStartsAt; ///< Set by the first event.
+    Instant lastEventAt;
+    bool isTrusted = true;       ///< False after a pause, until another host confirms the ordinal.
+    bool isSuperseded = false;   ///< A newer incarnation has this ordinal: this one admits nothing.
+    Instant mutualDoubtDeadline; ///< Unconfirmed hosts may confirm this one after this.
+    std::uint64_t minConfirmingSerial
+            = 0; ///< Statements that answer earlier queries don't confirm.
     std::uint64_t querySerial = 0;
-    Instant nextQuery;
-    Instant nextWriteOff;
-    bool hasAllStatements = false; ///< Every other seat said what it holds from former lives.
+    Instant nextQueryAt;
+    Instant nextWriteOffAt;
+    bool hasAllStatements = false; ///< Every other ordinal has stated its former loans.
 
-    std::map<SeatId, SeatView> seats; ///< The others.
+    std::map<SeatId, SeatView> seats; ///< All other host ordinals seen.
     std::map<SeatId, std::vector<HeldLoan>> statedLoans;
     std::unordered_map<CustomerId, CustomerShares> customers;
-    std::set<CustomerId> active; ///< With wallets or waiting requests.
+    std::set<CustomerId> active; ///< Customers with loan accounts or waiting requests.
     std::unordered_map<RequestId, Reservation> reservations;
-    std::deque<LentRun> lentRuns; ///< Rising `endsAt`.
+    std::deque<LentRequest> lentRequests; ///< Ordered by `endsAt`.
     ShareCounters counters;
 };
 
 ShareHolder makeShareHolder(SeatId seat, HostLife self, SeatWeight weight, ShareSettings settings);
 
-/// Must come before any other use at a new time: after a pause the host doubts its seat.
-void noteTime(ShareHolder &holder, Instant now);
+/// Detects pauses of this process; call it before any other function at a new time. After a pause
+/// the host admits nothing until another host confirms its ordinal.
+void noteTime(ShareHolder &state, Instant now);
 
-/// Puts the terms of \a ticket in force. \a terms lists all customers.
-void setTerms(ShareHolder &holder, TicketNumber ticket, const ZoneSeats &zones,
+/// Applies the terms of \a ticket. \a terms lists all customers.
+void setTerms(ShareHolder &state, TicketNumber ticket, const ZoneSeats &zones,
               const std::vector<ShareTerms> &terms, Instant now);
 
-/// Another host was heard in \a seat; it counts as silent after \a lateness, where that is longer
-/// than the settings' silence: hosts of other zones are heard less often in a large fleet.
-void noteSeat(ShareHolder &holder, const SeatId &seat, const HostLife &life, Instant now,
+/// Records contact with \a occupant of \a seat. It counts as unreachable after \a lateness or the
+/// settings' reachability timeout, whichever is longer: in a large fleet hosts of other zones send
+/// less often.
+void noteSeat(ShareHolder &state, const SeatId &seat, const HostLife &occupant, Instant now,
               Span lateness = {});
 
-/// Takes \a cost for \a request from borrowed tokens and the own part; all or nothing.
-bool reserve(ShareHolder &holder, const RequestId &request, const CustomerId &customer, Tokens cost,
+/// Reserves \a cost for \a request from borrowed tokens and the host's own share. Returns false and
+/// reserves nothing if they don't suffice.
+bool reserve(ShareHolder &state, const RequestId &request, const CustomerId &customer, Tokens cost,
              Instant now);
 
-/// Counts \a amount of the request's tokens as made.
-void settle(ShareHolder &holder, const RequestId &request, Tokens amount, Instant now);
+/// Counts \a amount of the request's tokens as generated.
+void settle(ShareHolder &state, const RequestId &request, Tokens amount, Instant now);
 
-/// Gives the rest of the request's tokens back.
-void release(ShareHolder &holder, const RequestId &request, Instant now);
+/// Releases the rest of the request's tokens.
+void release(ShareHolder &state, const RequestId &request, Instant now);
 
-/// When tokens for \a cost are to be expected after those of the requests that wait already, by
-/// what the owners last said; `never` where no part in reach can earn them.
-Instant expectedAt(const ShareHolder &holder, const CustomerId &customer, Tokens cost, Instant now);
+/// When tokens for \a cost are expected, after those for the requests that already wait, from what
+/// the owners last reported; `never` if no reachable share earns any.
+Instant expectedAt(const ShareHolder &state, const CustomerId &customer, Tokens cost, Instant now);
 
-/// The largest request of \a customer that this host can ever admit: its own part, and what one
+/// The largest request of \a customer that this host can ever admit: its own share, and what one
 /// borrower may hold of the others.
-Tokens largestRequest(const ShareHolder &holder, const CustomerId &customer);
+Tokens largestRequest(const ShareHolder &state, const CustomerId &customer);
 
-/// Tells the cost of all requests of \a customer that wait here, and asks for what lacks.
-void seekTokens(ShareHolder &holder, const CustomerId &customer, Tokens waiting, Instant now,
+/// Sets \a waiting as the total cost of \a customer's waiting requests, and requests the missing
+/// tokens from lenders.
+void seekTokens(ShareHolder &state, const CustomerId &customer, Tokens waiting, Instant now,
                 std::vector<ShareOutgoing> &out);
 
-/// Due work: reports, surplus, queries, loans that have run out.
-void tendShares(ShareHolder &holder, Instant now, std::vector<ShareOutgoing> &out);
+/// Performs due work: reports, returns of surplus, queries, write-off of expired loans.
+void tendShares(ShareHolder &state, Instant now, std::vector<ShareOutgoing> &out);
 
-/// Requests whose lent tokens can't be used any longer; each is named once.
-std::vector<RequestId> takeOverdue(ShareHolder &holder, Instant now);
+/// Requests whose lent tokens have expired; each is returned once.
+std::vector<RequestId> takeOverdue(ShareHolder &state, Instant now);
 
-/// A message of another host. Names the customer whose waiting requests may go on now.
-std::optional<CustomerId> onShareMessage(ShareHolder &holder, const HostLife &sender,
+/// Handles a message of another host. Returns the customer whose waiting requests may be retried.
+std::optional<CustomerId> onShareMessage(ShareHolder &state, const HostLife &sender,
                                          const ShareBody &body, Instant now,
                                          std::vector<ShareOutgoing> &out);
 
--- a/packages/limits/include/azurewell/limits/share_messages.h
+++ b/packages/limits/include/azurewell/limits/share_messages.h
@@ -10,8 +10,8 @@
 
 namespace azurewell {
 
-/// A host place: parts of rates belong to places, so that two views of the host list cannot give
-/// two sums.
+/// A host ordinal: a fixed place in a zone. Shares of rates belong to ordinals rather than hosts,
+/// so that two views of the host list cannot add up to two different sums.
 struct SeatId
 {
     ZoneId zone;
@@ -20,7 +20,7 @@
     auto operator<=>(const SeatId &) const = default;
 };
 
-/// One life of a host. A restarted or replaced host is another one, which remembers nothing.
+/// One incarnation of a host. A restarted or replaced host is a new one, without any state.
 struct HostLife
 {
     HostId host;
@@ -30,27 +30,27 @@
 };
 
 /// A borrower's account with one lender for one customer. All fields are totals that only rise, so
-/// a report that is lost, doubled or overtaken does no harm: the newest of each field counts.
+/// lost, duplicate and reordered reports are harmless: the newest value of each field counts.
 struct LoanReport
 {
-    std::uint64_t closed = 0; ///< Asks up to this serial are answered or given up for good.
+    std::uint64_t closed = 0; ///< Requests up to this serial are answered or abandoned.
     Tokens accepted;          ///< Received by grants up to `closed`.
-    Tokens spent;             ///< Of these, made and passed on to callers.
+    Tokens spent;             ///< Of these, generated and passed on to callers.
     Tokens returned;          ///< Of these, never to be used by the borrower.
 };
 
-/// Asks the owner of a part for tokens; with `serial` 0 it only reports.
+/// Requests tokens from the owner of a share. With `serial` 0 it is a report only.
 struct ShareAsk
 {
     CustomerId customer;
-    std::uint64_t serial = 0; ///< Rises with each ask to this lender for this customer.
+    std::uint64_t serial = 0; ///< Rises with each request to this lender for this customer.
     Tokens wanted;
-    Incarnation lender; ///< The life of the lender that the report is about.
+    Incarnation lender; ///< The incarnation of the lender that the report is about.
     LoanReport report;
 };
 
-/// Tokens lent to one life of one host. The lender counts `lease` from the grant, the borrower from
-/// when it sent the ask, which was earlier.
+/// Tokens lent to one incarnation of a host. The lender counts `lease` from the grant, the borrower
+/// from the sending of the request, which is earlier.
 struct ShareGrant
 {
     CustomerId customer;
@@ -58,19 +58,19 @@
     Tokens amount;
     Incarnation borrower;
     Span lease{};
-    Tokens left; ///< What the lender could still lend; guides the next ask.
+    Tokens left; ///< What the lender could still lend; sizes the next request.
     std::uint32_t borrowers
-            = 0; ///< Hosts that borrow of this part; spaces the asks to an empty one.
+            = 0; ///< Hosts that borrow from this share; spaces requests to an empty lender.
 };
 
-/// Asks the holder of another seat for its statement.
+/// Asks the host at another ordinal for its statement.
 struct ShareQuery
 {
-    SeatId seat; ///< The asker's.
+    SeatId seat; ///< The sender's.
     std::uint64_t serial = 0;
 };
 
-/// Tokens that the sender holds from former lives of the asker's seat.
+/// Tokens that the sender holds from former incarnations at the requester's ordinal.
 struct HeldLoan
 {
     CustomerId customer;
@@ -82,10 +82,10 @@
 {
     SeatId seat; ///< The sender's.
     std::uint64_t serial = 0;
-    Incarnation asker;
-    Incarnation newestOfAsker; ///< The newest life of the asker's seat that the sender has heard.
-    bool isTrusted = false;    ///< The sender has no doubt of its own seat.
-    TicketNumber settled;      ///< The sender's parts have the size that this ticket gives them.
+    Incarnation asker;         ///< The incarnation that sent the query.
+    Incarnation newestOfAsker; ///< The newest incarnation at that ordinal known to the sender.
+    bool isTrusted = false;    ///< The sender's own ordinal is confirmed.
+    TicketNumber settled;      ///< The sender's shares have the size that this ticket gives them.
     std::vector<HeldLoan> held;
 };
 
--- a/packages/limits/include/azurewell/limits/share_part.h
+++ b/packages/limits/include/azurewell/limits/share_part.h
@@ -8,60 +8,60 @@
 
 namespace azurewell {
 
-/// What one life of a host has borrowed of a part.
-struct LoanAccount
+/// The lender's side of a loan account: what one incarnation of a host has borrowed of a share.
+struct LenderAccount
 {
-    LoanReport report;               ///< The newest of each field.
-    std::uint64_t pendingSerial = 0; ///< The newest ask that was answered.
-    Tokens pending;                  ///< Granted for it, and not known to be accepted or lost.
-    Tokens held;                     ///< Accepted, and neither made nor returned.
-    Instant endsAt;                  ///< Nothing lent so far can be made after this.
+    LoanReport report;               ///< The newest value of each field.
+    std::uint64_t pendingSerial = 0; ///< Serial of the newest request that was answered.
+    Tokens pending;                  ///< Granted for it, not yet known to be accepted or lost.
+    Tokens held;                     ///< Accepted, and neither generated nor returned.
+    Instant endsAt;                  ///< No token lent so far can be generated after this.
 };
 
-/// A size that a ticket gave to a part.
-struct PartStep
+/// The size that a ticket gave to a share.
+struct ShareSize
 {
     TicketNumber ticket;
     double fraction = 0;
 };
 
-/// A customer's part at the seat that owns it, with the loans made from it.
+/// A customer's share at the host ordinal that owns it, with the loans made from it.
 ///
 /// Load pattern: the balancer sends most of a customer's traffic to one host, then to another.
-/// Without loans that host refuses requests inside the rate while the other parts lie full. Lent
-/// tokens stay in `bucket.reserved` until they are known to be made or returned: the bucket would
-/// refill over them otherwise, and the customer would receive them and a full burst at once.
-struct SharePart
+/// Without loans that host refuses requests within the rate while the other shares stay full. Lent
+/// tokens stay in `bucket.reserved` until they are known to be generated or returned: otherwise the
+/// bucket would refill over them, and the customer could receive them and a full burst at once.
+struct OwnedShare
 {
     TokenBucket bucket;
-    std::map<HostLife, LoanAccount> loans;
-    double formerLoans = 0; ///< Room kept for what former lives of this seat may have lent.
-    Instant formerLoansEnd;
-    std::vector<PartStep> steps; ///< The newest last; the smallest one is in force.
+    std::map<HostLife, LenderAccount> loans;
+    double formerLoans = 0; ///< Tokens kept reserved for loans of former incarnations.
+    Instant formerLoansEndAt;
+    std::vector<ShareSize> sizes; ///< Newest last; the smallest is in force.
 };
 
-/// Granted and neither made nor returned.
-Tokens outstandingOf(const LoanAccount &account);
+/// Tokens granted and neither generated nor returned.
+Tokens outstandingOf(const LenderAccount &account);
 
-/// Takes over a borrower's report: made tokens free their room, returned and lost ones are level
-/// again.
-void noteReport(SharePart &part, LoanAccount &account, const LoanReport &report, Instant now);
+/// Applies a borrower's report: generated tokens free their capacity, returned and lost tokens can
+/// be reserved again.
+void applyReport(OwnedShare &share, LenderAccount &account, const LoanReport &report, Instant now);
 
-/// Lends for \a ask, keeping \a keepBack for the owner's own requests; the same amount again for an
-/// ask that arrives twice, and zero for one that was overtaken.
-Tokens lend(SharePart &part, const HostLife &borrower, const ShareAsk &ask, Tokens keepBack,
+/// Lends for \a ask, keeping \a withheld for the owner's own requests. Returns the amount: the same
+/// again for a duplicate request, zero for one that arrives after a newer one.
+Tokens lend(OwnedShare &share, const HostLife &borrower, const ShareAsk &ask, Tokens withheld,
             const ShareSettings &settings, Instant now);
 
-/// Frees the room of loans that cannot be made any more.
-void writeOffLoans(SharePart &part, Instant now);
+/// Frees the capacity of loans whose tokens can no longer be generated.
+void writeOffLoans(OwnedShare &share, Instant now);
 
-/// Cuts the room kept for loans of former lives to \a most.
-void cutFormerLoans(SharePart &part, double most, Instant now);
+/// Reduces the tokens kept for loans of former incarnations to at most \a limit.
+void limitFormerLoans(OwnedShare &share, double limit, Instant now);
 
-/// The smallest fraction that any seat may still count on this part having.
-double fractionInForce(const SharePart &part);
+/// The smallest fraction that any host may still assume for this share.
+double effectiveFraction(const OwnedShare &share);
 
-/// Forgets the steps that every seat has left behind.
-void pruneSteps(SharePart &part, TicketNumber settledEverywhere);
+/// Drops the sizes from tickets that every host has superseded.
+void pruneSizes(OwnedShare &share, TicketNumber settledEverywhere);
 
 } // namespace azurewell
--- a/packages/limits/include/azurewell/limits/token_bucket.h
+++ b/packages/limits/include/azurewell/limits/token_bucket.h
@@ -5,44 +5,43 @@
 
 namespace azurewell {
 
-/// One part of a customer's rate and burst, owned by one host place.
+/// A share of a customer's rate and burst, owned by one host ordinal.
 ///
 /// Load pattern: a customer sends several times its rate, in bursts, with streams that run for
-/// seconds. Without it that customer takes the engines from the others.
+/// seconds. Without a limit that customer takes the engines' capacity from the others.
 ///
-/// `level + reserved` never exceeds `burst`: tokens that were reserved but not made yet keep their
-/// room in the bucket. A bucket that refilled while reserved tokens were still to be made would let
-/// a slow engine deliver the reservation and a refilled burst in the same moment, and the customer
-/// would receive up to twice its burst in that window.
+/// `level + reserved` never exceeds `burst`: tokens that are reserved and not yet generated still
+/// occupy the bucket. If the bucket refilled over them, a slow engine could deliver the reservation
+/// together with a refilled burst, and the customer would receive up to twice its burst in that
+/// window.
 struct TokenBucket
 {
     double ratePerSecond = 0;
-    double burst = 0; ///< Tokens.
-    double level
-            = 0; ///< Tokens that may be reserved now. A new bucket is empty: it has earned nothing.
-    double reserved = 0; ///< Tokens promised to admitted requests and not made yet.
-    Instant refilledAt;  ///< When `level` was last brought up to date.
+    double burst = 0;    ///< Tokens.
+    double level = 0;    ///< Tokens that can be reserved now. A new bucket has earned nothing.
+    double reserved = 0; ///< Tokens reserved by admitted requests and not yet generated.
+    Instant refilledAt;  ///< When `level` was last updated.
 };
 
-/// Brings `level` up to \a now. Time that runs backwards earns nothing.
+/// Updates `level` to \a now. Time that runs backwards earns nothing.
 void refill(TokenBucket &bucket, Instant now);
 
 /// Reserves \a amount if the level allows it.
 bool tryReserve(TokenBucket &bucket, Tokens amount, Instant now);
 
-/// Counts \a amount of reserved tokens as made: their room is free for refill again.
+/// Counts \a amount of reserved tokens as generated: their capacity can refill.
 void settle(TokenBucket &bucket, Tokens amount, Instant now);
 
-/// Gives \a amount of reserved tokens back: they were not made and may be reserved again.
+/// Releases \a amount of reserved tokens: they were not generated and can be reserved again.
 void giveBack(TokenBucket &bucket, Tokens amount, Instant now);
 
-/// When \a amount could be reserved if nothing else happened; the far future where it never fits.
+/// When \a amount could be reserved if nothing else happened; `never` if it cannot.
 Instant earliestFor(const TokenBucket &bucket, Tokens amount, Instant now);
 
-/// The answer of earliestFor() for an amount above the burst.
+/// The far future: the result of earliestFor() for an amount above the burst.
 inline constexpr Instant never{ INT64_MAX };
 
-/// Changes rate and burst without creating tokens: the level is cut to the new burst.
+/// Changes rate and burst without creating tokens: the level is limited to the new burst.
 void reshape(TokenBucket &bucket, double ratePerSecond, double burst, Instant now);
 
 } // namespace azurewell
--- a/packages/limits/src/loan_wallet.cpp
+++ b/packages/limits/src/loan_wallet.cpp
@@ -6,90 +6,94 @@
 
 namespace {
 
-bool isTold(const LoanWallet &wallet)
+bool isReported(const BorrowerAccount &account)
 {
-    const LoanReport &now = wallet.report;
-    const LoanReport &told = wallet.told;
-    return now.closed == told.closed && now.spent == told.spent && now.returned == told.returned;
+    const LoanReport &now = account.report;
+    const LoanReport &sentReport = account.sentReport;
+    return now.closed == sentReport.closed && now.spent == sentReport.spent
+            && now.returned == sentReport.returned;
 }
 
-/// How long an empty lender is left alone. With hundreds of hosts before one owner, asks at a fixed
-/// pace would be most of its messages.
-Span emptyPauseOf(const ShareGrant &grant, const ShareSettings &settings)
+/// The delay before the next request to a lender that granted nothing. If hundreds of hosts retried
+/// at a fixed interval, their requests would be most of the owner's messages.
+Span emptyRetryDelay(const ShareGrant &grant, const ShareSettings &settings)
 {
-    const double crowd = std::max(1.0, grant.borrowers / settings.smallCrowd);
-    const double seconds = toSeconds(settings.emptyPause) * crowd;
-    return fromSeconds(std::min(seconds, toSeconds(settings.longestPause)));
+    const double crowdFactor = std::max(1.0, grant.borrowers / settings.crowdThreshold);
+    const double seconds = toSeconds(settings.emptyLenderRetryDelay) * crowdFactor;
+    return fromSeconds(std::min(seconds, toSeconds(settings.maxRetryDelay)));
 }
 
 } // namespace
 
-ShareAsk openAsk(LoanWallet &wallet, const CustomerId &customer, Tokens wanted,
-                 const ShareSettings &settings, Instant now)
+ShareAsk openRequest(BorrowerAccount &account, const CustomerId &customer, Tokens wanted,
+                     const ShareSettings &settings, Instant now)
 {
-    ++wallet.askSerial;
-    wallet.asked = wanted;
-    wallet.askSentAt = now;
-    wallet.askGivenUpAt = now + settings.askTimeout;
-    wallet.told = wallet.report;
-    wallet.nextReport = now + settings.reportInterval;
-    return ShareAsk{ customer, wallet.askSerial, wanted, wallet.lender.incarnation, wallet.report };
+    ++account.requestSerial;
+    account.requested = wanted;
+    account.requestSentAt = now;
+    account.requestDeadline = now + settings.requestTimeout;
+    account.sentReport = account.report;
+    account.nextReportAt = now + settings.reportInterval;
+    return ShareAsk{ customer, account.requestSerial, wanted, account.lender.incarnation,
+                     account.report };
 }
 
-void giveUpLateAsk(LoanWallet &wallet, Instant now)
+void abandonTimedOutRequest(BorrowerAccount &account, Instant now)
 {
-    if (wallet.asked.count == 0 || now < wallet.askGivenUpAt)
+    if (account.requested.count == 0 || now < account.requestDeadline)
         return;
-    wallet.asked = Tokens{};
-    wallet.report.closed = wallet.askSerial;
-    wallet.nextAsk = now;
+    account.requested = Tokens{};
+    account.report.closed = account.requestSerial;
+    account.nextRequestAt = now;
 }
 
-bool acceptGrant(LoanWallet &wallet, const ShareGrant &grant, const ShareSettings &settings,
+bool acceptGrant(BorrowerAccount &account, const ShareGrant &grant, const ShareSettings &settings,
                  Instant now)
 {
-    giveUpLateAsk(wallet, now);
-    const bool isOpen = wallet.asked.count > 0 && grant.serial == wallet.askSerial;
+    abandonTimedOutRequest(account, now);
+    const bool isOpen = account.requested.count > 0 && grant.serial == account.requestSerial;
     if (!isOpen && !settings.faults.acceptsDuplicates)
         return false;
-    const Tokens wanted = wallet.asked;
-    wallet.asked = Tokens{};
-    wallet.left = grant.left;
-    wallet.leftAt = now;
-    // An empty lender earns little meanwhile; asking it at once again would cost messages only.
-    const Span pause = grant.amount.count == 0 ? emptyPauseOf(grant, settings) : settings.askPause;
-    wallet.nextAsk = grant.amount < wanted ? now + pause : now;
-    wallet.report.closed = wallet.askSerial;
-    wallet.report.accepted += grant.amount;
-    wallet.available += grant.amount;
-    // Counted from the sending of the ask: the lender granted later than that.
+    const Tokens wanted = account.requested;
+    account.requested = Tokens{};
+    account.lenderRemaining = grant.left;
+    account.lenderRemainingAt = now;
+    // An empty lender earns little in the meantime; an immediate retry would only cost messages.
+    const Span pause = grant.amount.count == 0 ? emptyRetryDelay(grant, settings)
+                                               : settings.retryDelay;
+    account.nextRequestAt = grant.amount < wanted ? now + pause : now;
+    account.report.closed = account.requestSerial;
+    account.report.accepted += grant.amount;
+    account.available += grant.amount;
+    // Counted from the sending of the request: the lender's lease started later.
     const Span margin = fromSeconds(toSeconds(grant.lease) * settings.clockDrift);
     if (grant.amount.count > 0)
-        wallet.usableUntil = std::max(wallet.usableUntil, wallet.askSentAt + grant.lease - margin);
-    voidUnusable(wallet, now);
+        account.usableUntil = std::max(account.usableUntil,
+                                       account.requestSentAt + grant.lease - margin);
+    returnExpired(account, now);
     return true;
 }
 
-void voidUnusable(LoanWallet &wallet, Instant now)
+void returnExpired(BorrowerAccount &account, Instant now)
 {
-    if (wallet.usableUntil <= now)
-        returnSurplus(wallet, wallet.available);
+    if (account.usableUntil <= now)
+        returnSurplus(account, account.available);
 }
 
-void returnSurplus(LoanWallet &wallet, Tokens amount)
+void returnSurplus(BorrowerAccount &account, Tokens amount)
 {
-    wallet.available -= amount;
-    wallet.report.returned += amount;
+    account.available -= amount;
+    account.report.returned += amount;
 }
 
-std::optional<ShareAsk> takeReport(LoanWallet &wallet, const CustomerId &customer,
+std::optional<ShareAsk> takeReport(BorrowerAccount &account, const CustomerId &customer,
                                    const ShareSettings &settings, Instant now)
 {
-    if (now < wallet.nextReport || isTold(wallet))
+    if (now < account.nextReportAt || isReported(account))
         return std::nullopt;
-    wallet.told = wallet.report;
-    wallet.nextReport = now + settings.reportInterval;
-    return ShareAsk{ customer, 0, Tokens{}, wallet.lender.incarnation, wallet.report };
+    account.sentReport = account.report;
+    account.nextReportAt = now + settings.reportInterval;
+    return ShareAsk{ customer, 0, Tokens{}, account.lender.incarnation, account.report };
 }
 
 } // namespace azurewell
--- a/packages/limits/src/share_demand.cpp
+++ b/packages/limits/src/share_demand.cpp
@@ -9,41 +9,41 @@
 
 namespace shares {
 
-std::uint32_t totalSeats(const ShareHolder &holder)
+std::uint32_t totalSeats(const ShareHolder &state)
 {
     std::uint32_t total = 0;
-    for (const auto &[zone, count] : holder.zones)
+    for (const auto &[zone, count] : state.zones)
         total += count;
     return total;
 }
 
-CustomerShares *find(ShareHolder &holder, const CustomerId &customer)
+CustomerShares *find(ShareHolder &state, const CustomerId &customer)
 {
-    const auto found = holder.customers.find(customer);
-    return found == holder.customers.end() ? nullptr : &found->second;
+    const auto found = state.customers.find(customer);
+    return found == state.customers.end() ? nullptr : &found->second;
 }
 
-const SeatView *reachable(const ShareHolder &holder, const SeatId &seat, Instant now)
+const SeatView *reachable(const ShareHolder &state, const SeatId &seat, Instant now)
 {
-    const auto found = holder.seats.find(seat);
-    const bool isHeard = found != holder.seats.end() && now < found->second.heardUntil;
-    return isHeard ? &found->second : nullptr;
+    const auto found = state.seats.find(seat);
+    const bool isReachable = found != state.seats.end() && now < found->second.reachableUntil;
+    return isReachable ? &found->second : nullptr;
 }
 
-Tokens availableOf(const CustomerShares &shares)
+Tokens availableBorrowed(const CustomerShares &shares)
 {
     Tokens available;
-    for (const auto &[life, wallet] : shares.wallets)
-        available += wallet.available;
+    for (const auto &[lender, account] : shares.accounts)
+        available += account.available;
     return available;
 }
 
-double heldNow(const CustomerShares &shares, Instant now)
+double availableNow(const CustomerShares &shares, Instant now)
 {
     Tokens usable;
-    for (const auto &[life, wallet] : shares.wallets)
-        usable += wallet.usableUntil > now ? wallet.available : Tokens{};
-    // Whole tokens only: a reservation can't be split below one.
+    for (const auto &[lender, account] : shares.accounts)
+        usable += account.usableUntil > now ? account.available : Tokens{};
+    // Whole tokens only: a reservation can't be split below one token.
     return std::floor(shares.part.bucket.level) + static_cast<double>(usable.count);
 }
 
@@ -51,165 +51,167 @@
 {
     if (now <= shares.demandAt)
         return;
-    const double age = toSeconds(now - shares.demandAt) / toSeconds(settings.demandMemory);
+    const double age = toSeconds(now - shares.demandAt) / toSeconds(settings.demandTimeConstant);
     shares.demand *= std::exp(-age);
     shares.demandAt = now;
 }
 
-double expectedLevel(const ShareHolder &holder, const CustomerShares &shares, const SeatPart &part,
+double expectedLevel(const ShareHolder &state, const CustomerShares &shares, const SeatShare &share,
                      Instant now)
 {
-    const SeatView *view = reachable(holder, part.seat, now);
+    const SeatView *view = reachable(state, share.seat, now);
     if (!view)
         return 0;
-    const double burst = shares.terms.burst * part.fraction;
-    const auto wallet = shares.wallets.find(view->life);
-    if (wallet == shares.wallets.end() || !wallet->second.left)
+    const double burst = shares.terms.burst * share.fraction;
+    const auto account = shares.accounts.find(view->occupant);
+    if (account == shares.accounts.end() || !account->second.lenderRemaining)
         return burst;
-    const double earned = toSeconds(now - wallet->second.leftAt) * shares.terms.ratePerSecond
-            * part.fraction;
-    return std::min(burst, static_cast<double>(wallet->second.left->count) + earned);
+    const double earned = toSeconds(now - account->second.lenderRemainingAt)
+            * shares.terms.ratePerSecond * share.fraction;
+    return std::min(burst, static_cast<double>(account->second.lenderRemaining->count) + earned);
 }
 
 } // namespace shares
 
 namespace {
 
-/// A smaller loan costs more in messages than it serves.
-constexpr double smallestLoan = 32;
+/// Smaller loans cost more in messages than they serve.
+constexpr double minLoanTokens = 32;
 
-/// An owner of the own zone comes before one that is fuller by up to this part of its burst.
+/// An owner in this host's zone is preferred to one that is fuller by up to this fraction of its
+/// burst.
 constexpr double ownZonePreference = 0.1;
 
-/// Owners that can be asked now, the fullest first: a part that is full earns nothing, so draining
-/// the own zone's parts alone would lose the rate of the others.
-std::vector<const SeatPart *> lendersFor(const ShareHolder &holder, const CustomerShares &shares,
-                                         Instant now)
+/// Reachable owners, fullest first: a full share earns nothing, so that draining only the shares of
+/// the own zone would lose the rate of the others.
+std::vector<const SeatShare *> lendersFor(const ShareHolder &state, const CustomerShares &shares,
+                                          Instant now)
 {
-    std::vector<std::pair<double, const SeatPart *>> ranked;
-    for (const SeatPart &part : shares.owners) {
-        if (part.seat == holder.seat || !reachable(holder, part.seat, now))
+    std::vector<std::pair<double, const SeatShare *>> ranked;
+    for (const SeatShare &share : shares.owners) {
+        if (share.seat == state.seat || !reachable(state, share.seat, now))
             continue;
-        const double preference = part.seat.zone == holder.seat.zone ? ownZonePreference : 0;
-        const double burst = std::max(1.0, shares.terms.burst * part.fraction);
-        ranked.emplace_back(expectedLevel(holder, shares, part, now) / burst + preference, &part);
+        const double preference = share.seat.zone == state.seat.zone ? ownZonePreference : 0;
+        const double burst = std::max(1.0, shares.terms.burst * share.fraction);
+        ranked.emplace_back(expectedLevel(state, shares, share, now) / burst + preference, &share);
     }
     std::stable_sort(ranked.begin(), ranked.end(),
                      [](const auto &a, const auto &b) { return a.first > b.first; });
-    std::vector<const SeatPart *> lenders;
+    std::vector<const SeatShare *> lenders;
     lenders.reserve(ranked.size());
-    for (const auto &[rank, part] : ranked)
-        lenders.push_back(part);
+    for (const auto &[rank, share] : ranked)
+        lenders.push_back(share);
     return lenders;
 }
 
-/// What the requests that wait here and the demand of the next moments lack.
+/// Tokens missing for the requests that wait here and the expected demand.
 double shortageOf(const CustomerShares &shares, const ShareSettings &settings, Instant now)
 {
-    Tokens asked;
-    for (const auto &[life, wallet] : shares.wallets)
-        asked += wallet.asked;
+    Tokens requested;
+    for (const auto &[lender, account] : shares.accounts)
+        requested += account.requested;
     const double ahead = shares.demand * toSeconds(settings.prefetch);
-    const double held = heldNow(shares, now) + static_cast<double>(asked.count);
+    const double held = availableNow(shares, now) + static_cast<double>(requested.count);
     const double waiting = static_cast<double>(shares.waiting.count);
-    // Asked for at half of the target and filled to the whole, so that it does not flap.
+    // Requested below half of the target and filled up to it, to avoid oscillation.
     if (waiting == 0 && held >= ahead / 2)
         return 0;
     return waiting + ahead - held;
 }
 
-void askLenders(ShareHolder &holder, CustomerShares &shares, Instant now,
-                std::vector<ShareOutgoing> &out)
+void requestFromLenders(ShareHolder &state, CustomerShares &shares, Instant now,
+                        std::vector<ShareOutgoing> &out)
 {
-    double lacking = shortageOf(shares, holder.settings, now);
+    double lacking = shortageOf(shares, state.settings, now);
     if (lacking < 1)
         return;
-    for (const SeatPart *part : lendersFor(holder, shares, now)) {
+    for (const SeatShare *share : lendersFor(state, shares, now)) {
         if (lacking < 1)
             return;
-        const HostLife lender = holder.seats.at(part->seat).life;
-        LoanWallet &wallet = shares.wallets[lender];
-        wallet.seat = part->seat;
-        wallet.lender = lender;
-        if (wallet.asked.count > 0 || now < wallet.nextAsk)
+        const HostLife lender = state.seats.at(share->seat).occupant;
+        BorrowerAccount &account = shares.accounts[lender];
+        account.seat = share->seat;
+        account.lender = lender;
+        if (account.requested.count > 0 || now < account.nextRequestAt)
             continue;
-        const double most = shares.terms.burst * part->fraction * holder.settings.mostPerBorrower;
-        const double expected = expectedLevel(holder, shares, *part, now);
-        // What other borrowers return there is not known here: a small ask finds out.
+        const double limit = shares.terms.burst * share->fraction * state.settings.mostPerBorrower;
+        const double expected = expectedLevel(state, shares, *share, now);
+        // Other borrowers' returns there are unknown here, so a small request is sent in any case.
         const double wanted = std::min(
-                { std::max(expected, smallestLoan), most, std::max(lacking, smallestLoan) });
+                { std::max(expected, minLoanTokens), limit, std::max(lacking, minLoanTokens) });
         if (wanted < 1)
             continue;
         const Tokens amount{ static_cast<std::int64_t>(std::ceil(wanted)) };
         out.push_back(ShareOutgoing{
                 lender.host,
-                openAsk(wallet, shares.terms.customer, amount, holder.settings, now) });
-        ++holder.counters.asks;
+                openRequest(account, shares.terms.customer, amount, state.settings, now) });
+        ++state.counters.asks;
         lacking -= wanted;
     }
 }
 
-/// Returns borrowed tokens above twice the target: they wait at their owner for another host.
+/// Returns borrowed tokens beyond twice the prefetch target, so that other hosts can borrow them.
 void returnUnneeded(CustomerShares &shares, const ShareSettings &settings)
 {
     const double target = static_cast<double>(shares.waiting.count)
             + 2 * shares.demand * toSeconds(settings.prefetch);
-    double surplus = static_cast<double>(availableOf(shares).count) - target;
-    for (auto &[life, wallet] : shares.wallets) {
+    double surplus = static_cast<double>(availableBorrowed(shares).count) - target;
+    for (auto &[lender, account] : shares.accounts) {
         if (surplus < 1)
             return;
-        const Tokens amount = std::min(wallet.available,
+        const Tokens amount = std::min(account.available,
                                        Tokens{ static_cast<std::int64_t>(surplus) });
-        returnSurplus(wallet, amount);
+        returnSurplus(account, amount);
         surplus -= static_cast<double>(amount.count);
     }
 }
 
-/// Whether nothing is left to tell or to use.
-bool isSpent(const ShareHolder &holder, const LoanWallet &wallet, Instant now)
+/// Whether the account has nothing left to use or to report.
+bool isRemovable(const ShareHolder &state, const BorrowerAccount &account, Instant now)
 {
-    const auto view = holder.seats.find(wallet.seat);
-    const bool isFormer = view == holder.seats.end() || view->second.life != wallet.lender;
-    const bool isEmpty = wallet.reserved.count == 0 && wallet.available.count == 0;
-    const Span memory = holder.settings.lease + holder.settings.longestRun;
-    // The totals must outlive the lender's account, which they continue.
-    return isEmpty && wallet.asked.count == 0
-            && (isFormer || wallet.askSentAt + memory + memory < now);
+    const auto view = state.seats.find(account.seat);
+    const bool isFormer = view == state.seats.end() || view->second.occupant != account.lender;
+    const bool isEmpty = account.reserved.count == 0 && account.available.count == 0;
+    const Span memory = state.settings.lease + state.settings.maxLentRunTime;
+    // The totals must outlive the lender's account of them, or its differences would be wrong.
+    return isEmpty && account.requested.count == 0
+            && (isFormer || account.requestSentAt + memory + memory < now);
 }
 
-void tendWallets(ShareHolder &holder, CustomerShares &shares, Instant now,
-                 std::vector<ShareOutgoing> &out)
+void pollAccounts(ShareHolder &state, CustomerShares &shares, Instant now,
+                  std::vector<ShareOutgoing> &out)
 {
-    for (auto &[life, wallet] : shares.wallets) {
-        giveUpLateAsk(wallet, now);
-        voidUnusable(wallet, now);
+    for (auto &[lender, account] : shares.accounts) {
+        abandonTimedOutRequest(account, now);
+        returnExpired(account, now);
     }
-    returnUnneeded(shares, holder.settings);
-    for (auto &[life, wallet] : shares.wallets) {
-        const std::optional<ShareAsk> report = takeReport(wallet, shares.terms.customer,
-                                                          holder.settings, now);
+    returnUnneeded(shares, state.settings);
+    for (auto &[lender, account] : shares.accounts) {
+        const std::optional<ShareAsk> report = takeReport(account, shares.terms.customer,
+                                                          state.settings, now);
         if (report)
-            out.push_back(ShareOutgoing{ life.host, *report });
+            out.push_back(ShareOutgoing{ lender.host, *report });
     }
-    std::erase_if(shares.wallets,
-                  [&holder, now](const auto &entry) { return isSpent(holder, entry.second, now); });
+    std::erase_if(shares.accounts, [&state, now](const auto &entry) {
+        return isRemovable(state, entry.second, now);
+    });
 }
 
 } // namespace
 
-Instant expectedAt(const ShareHolder &holder, const CustomerId &customer, Tokens cost, Instant now)
+Instant expectedAt(const ShareHolder &state, const CustomerId &customer, Tokens cost, Instant now)
 {
-    const auto found = holder.customers.find(customer);
-    if (found == holder.customers.end())
+    const auto found = state.customers.find(customer);
+    if (found == state.customers.end())
         return never;
     const CustomerShares &shares = found->second;
-    double held = heldNow(shares, now);
+    double held = availableNow(shares, now);
     double rate = shares.part.bucket.ratePerSecond;
-    for (const SeatPart &part : shares.owners) {
-        if (part.seat == holder.seat || !reachable(holder, part.seat, now))
+    for (const SeatShare &share : shares.owners) {
+        if (share.seat == state.seat || !reachable(state, share.seat, now))
             continue;
-        held += expectedLevel(holder, shares, part, now);
-        rate += shares.terms.ratePerSecond * part.fraction;
+        held += expectedLevel(state, shares, share, now);
+        rate += shares.terms.ratePerSecond * share.fraction;
     }
     const double lacking = static_cast<double>(cost.count + shares.waiting.count) - held;
     if (lacking <= 0)
@@ -217,52 +219,52 @@
     return rate > 0 ? now + fromSeconds(lacking / rate) + Span{ 1 } : never;
 }
 
-Tokens largestRequest(const ShareHolder &holder, const CustomerId &customer)
+Tokens largestRequest(const ShareHolder &state, const CustomerId &customer)
 {
-    const auto found = holder.customers.find(customer);
-    if (found == holder.customers.end())
+    const auto found = state.customers.find(customer);
+    if (found == state.customers.end())
         return Tokens{};
-    const double own = fractionOf(found->second.owners, holder.seat);
-    const double reach = own + (1 - own) * holder.settings.mostPerBorrower;
+    const double own = fractionOf(found->second.owners, state.seat);
+    const double reach = own + (1 - own) * state.settings.mostPerBorrower;
     return Tokens{ static_cast<std::int64_t>(found->second.terms.burst * reach) };
 }
 
-void seekTokens(ShareHolder &holder, const CustomerId &customer, Tokens waiting, Instant now,
+void seekTokens(ShareHolder &state, const CustomerId &customer, Tokens waiting, Instant now,
                 std::vector<ShareOutgoing> &out)
 {
-    CustomerShares *shares = find(holder, customer);
+    CustomerShares *shares = find(state, customer);
     if (!shares)
         return;
     shares->waiting = waiting;
-    holder.active.insert(customer);
-    if (!holder.isTrusted || holder.isSuperseded)
+    state.active.insert(customer);
+    if (!state.isTrusted || state.isSuperseded)
         return;
     refill(shares->part.bucket, now);
-    askLenders(holder, *shares, now, out);
+    requestFromLenders(state, *shares, now, out);
 }
 
-void tendShares(ShareHolder &holder, Instant now, std::vector<ShareOutgoing> &out)
+void tendShares(ShareHolder &state, Instant now, std::vector<ShareOutgoing> &out)
 {
-    noteTime(holder, now);
-    for (auto id = holder.active.begin(); id != holder.active.end();) {
-        CustomerShares *shares = find(holder, *id);
+    noteTime(state, now);
+    for (auto id = state.active.begin(); id != state.active.end();) {
+        CustomerShares *shares = find(state, *id);
         if (shares) {
-            decayDemand(*shares, holder.settings, now);
-            tendWallets(holder, *shares, now, out);
-            seekTokens(holder, *id, shares->waiting, now, out);
+            decayDemand(*shares, state.settings, now);
+            pollAccounts(state, *shares, now, out);
+            seekTokens(state, *id, shares->waiting, now, out);
         }
-        const bool isIdle = !shares || (shares->wallets.empty() && shares->waiting.count == 0);
-        id = isIdle ? holder.active.erase(id) : std::next(id);
+        const bool isIdle = !shares || (shares->accounts.empty() && shares->waiting.count == 0);
+        id = isIdle ? state.active.erase(id) : std::next(id);
     }
-    const bool resumes = holder.settings.resumesUnconfirmed && now >= holder.mutualDoubtEnds;
-    holder.isTrusted = holder.isTrusted || resumes;
-    if (now < holder.nextQuery)
+    const bool resumes = state.settings.resumesUnconfirmed && now >= state.mutualDoubtDeadline;
+    state.isTrusted = state.isTrusted || resumes;
+    if (now < state.nextQueryAt)
         return;
-    holder.nextQuery = now + holder.settings.queryInterval;
-    for (auto &[id, shares] : holder.customers)
+    state.nextQueryAt = now + state.settings.queryInterval;
+    for (auto &[id, shares] : state.customers)
         writeOffLoans(shares.part, now);
-    growParts(holder, now);
-    sendQueries(holder, out);
+    growShares(state, now);
+    sendQueries(state, out);
 }
 
 } // namespace azurewell
--- a/packages/limits/src/share_holder.cpp
+++ b/packages/limits/src/share_holder.cpp
@@ -11,53 +11,53 @@
 
 namespace {
 
-/// A fresh part: empty, and with room kept for what a former holder of the seat may have lent.
-void beginPart(const ShareHolder &holder, CustomerShares &shares, Instant now)
+/// Initializes a share: empty, with tokens reserved for what former incarnations may have lent.
+void initShare(const ShareHolder &state, CustomerShares &shares, Instant now)
 {
     TokenBucket &bucket = shares.part.bucket;
-    bucket.refilledAt = std::max(now, holder.earnsFrom.value_or(now));
-    if (holder.settings.faults.newPartIsFull)
+    bucket.refilledAt = std::max(now, state.earningStartsAt.value_or(now));
+    if (state.settings.faults.newShareIsFull)
         bucket.level = bucket.burst;
-    if (holder.settings.faults.forgetsFormerLoans || holder.hasAllStatements)
+    if (state.settings.faults.forgetsFormerLoans || state.hasAllStatements)
         return;
-    const double unheard = static_cast<double>(totalSeats(holder)) - 1;
-    const double most = std::min(1.0, unheard * holder.settings.mostPerBorrower);
-    shares.part.formerLoans = bucket.burst * most;
+    const double others = static_cast<double>(totalSeats(state)) - 1;
+    const double maxFraction = std::min(1.0, others * state.settings.mostPerBorrower);
+    shares.part.formerLoans = bucket.burst * maxFraction;
     bucket.reserved += shares.part.formerLoans;
-    const Span hold = holder.settings.lease + holder.settings.longestRun;
-    shares.part.formerLoansEnd = now + hold
-            + fromSeconds(toSeconds(hold) * holder.settings.clockDrift);
+    const Span hold = state.settings.lease + state.settings.maxLentRunTime;
+    shares.part.formerLoansEndAt = now + hold
+            + fromSeconds(toSeconds(hold) * state.settings.clockDrift);
 }
 
-void applyTerms(ShareHolder &holder, CustomerShares &shares, const ShareTerms &terms, Instant now)
+void applyTerms(ShareHolder &state, CustomerShares &shares, const ShareTerms &terms, Instant now)
 {
-    const bool isNew = shares.part.steps.empty();
+    const bool isNew = shares.part.sizes.empty();
     shares.terms = terms;
-    shares.owners = ownersOf(holder.zones, terms.customer, terms.burst, holder.settings.layout,
-                             holder.weight);
-    const double fraction = fractionOf(shares.owners, holder.seat);
-    if (isNew || shares.part.steps.back().fraction != fraction)
-        shares.part.steps.push_back(PartStep{ holder.ticket, fraction });
+    shares.owners = ownersOf(state.zones, terms.customer, terms.burst, state.settings.layout,
+                             state.weight);
+    const double fraction = fractionOf(shares.owners, state.seat);
+    if (isNew || shares.part.sizes.back().fraction != fraction)
+        shares.part.sizes.push_back(ShareSize{ state.ticket, fraction });
     if (isNew)
-        shares.part.bucket.refilledAt = std::max(now, holder.earnsFrom.value_or(now));
-    shapePart(holder, shares, now);
+        shares.part.bucket.refilledAt = std::max(now, state.earningStartsAt.value_or(now));
+    resizeShare(state, shares, now);
     if (isNew)
-        beginPart(holder, shares, now);
+        initShare(state, shares, now);
 }
 
-/// Takes up to \a wanted from the borrowed tokens.
-Tokens takeBorrowed(CustomerShares &shares, Tokens wanted, Instant now, Reservation &reservation)
+/// Reserves up to \a wanted of the borrowed tokens. Returns the amount reserved.
+Tokens reserveBorrowed(CustomerShares &shares, Tokens wanted, Instant now, Reservation &reservation)
 {
     Tokens taken;
-    for (auto &[life, wallet] : shares.wallets) {
-        voidUnusable(wallet, now);
-        const Tokens amount = std::min(wallet.available, wanted - taken);
+    for (auto &[lender, account] : shares.accounts) {
+        returnExpired(account, now);
+        const Tokens amount = std::min(account.available, wanted - taken);
         if (amount.count <= 0)
             continue;
-        wallet.available -= amount;
-        wallet.reserved += amount;
+        account.available -= amount;
+        account.reserved += amount;
         taken += amount;
-        reservation.sources.push_back(ReservationSource{ life, amount });
+        reservation.sources.push_back(ReservationSource{ lender, amount });
     }
     return taken;
 }
@@ -66,139 +66,141 @@
 
 ShareHolder makeShareHolder(SeatId seat, HostLife self, SeatWeight weight, ShareSettings settings)
 {
-    ShareHolder holder;
-    holder.settings = settings;
-    holder.weight = weight;
-    holder.seat = std::move(seat);
-    holder.self = std::move(self);
-    return holder;
+    ShareHolder state;
+    state.settings = settings;
+    state.weight = weight;
+    state.seat = std::move(seat);
+    state.self = std::move(self);
+    return state;
 }
 
-void noteTime(ShareHolder &holder, Instant now)
+void noteTime(ShareHolder &state, Instant now)
 {
-    if (!holder.earnsFrom) {
-        holder.earnsFrom = now + holder.settings.takeoverWait;
-        holder.lastEvent = now;
+    if (!state.earningStartsAt) {
+        state.earningStartsAt = now + state.settings.takeoverDelay;
+        state.lastEventAt = now;
         return;
     }
-    const bool wasPaused = now - holder.lastEvent > holder.settings.wakeLimit;
-    holder.lastEvent = std::max(holder.lastEvent, now);
-    if (!wasPaused || holder.settings.faults.trustsItselfOnWaking || totalSeats(holder) <= 1)
+    const bool wasPaused = now - state.lastEventAt > state.settings.pauseThreshold;
+    state.lastEventAt = std::max(state.lastEventAt, now);
+    if (!wasPaused || state.settings.faults.skipsConfirmationAfterPause || totalSeats(state) <= 1)
         return;
-    holder.isTrusted = false;
-    holder.trustSerial = holder.querySerial + 1;
-    holder.mutualDoubtEnds = now + holder.settings.mutualDoubt;
-    holder.nextQuery = now;
-    ++holder.counters.distrusted;
+    state.isTrusted = false;
+    state.minConfirmingSerial = state.querySerial + 1;
+    state.mutualDoubtDeadline = now + state.settings.mutualDoubtTimeout;
+    state.nextQueryAt = now;
+    ++state.counters.distrusted;
 }
 
-void setTerms(ShareHolder &holder, TicketNumber ticket, const ZoneSeats &zones,
+void setTerms(ShareHolder &state, TicketNumber ticket, const ZoneSeats &zones,
               const std::vector<ShareTerms> &terms, Instant now)
 {
-    noteTime(holder, now);
-    const bool isSameLayout = holder.zones == zones;
-    holder.zones = zones;
-    holder.ticket = ticket;
-    holder.firstTicket = holder.firstTicket.value_or(ticket);
+    noteTime(state, now);
+    const bool isSameLayout = state.zones == zones;
+    state.zones = zones;
+    state.ticket = ticket;
+    state.firstTicket = state.firstTicket.value_or(ticket);
     std::set<CustomerId> listed;
     for (const ShareTerms &entry : terms) {
         listed.insert(entry.customer);
-        CustomerShares &shares = holder.customers[entry.customer];
+        CustomerShares &shares = state.customers[entry.customer];
         const bool isSame = shares.terms.ratePerSecond == entry.ratePerSecond
-                && shares.terms.burst == entry.burst && !shares.part.steps.empty();
+                && shares.terms.burst == entry.burst && !shares.part.sizes.empty();
         if (!isSame || !isSameLayout)
-            applyTerms(holder, shares, entry, now);
+            applyTerms(state, shares, entry, now);
     }
-    // A removed customer's part stays until its last tokens are made: were it forgotten, a ticket
-    // that brings the customer back would give it a second burst.
-    for (auto &[id, shares] : holder.customers) {
+    // A removed customer's share stays until its last tokens are generated. Otherwise a ticket that
+    // adds the customer again would give it a second burst.
+    for (auto &[id, shares] : state.customers) {
         if (!listed.contains(id))
-            applyTerms(holder, shares, ShareTerms{ id, 0, 0 }, now);
+            applyTerms(state, shares, ShareTerms{ id, 0, 0 }, now);
     }
-    cutUnheardLoans(holder, now);
+    limitFormerLoansByStatements(state, now);
 }
 
-void noteSeat(ShareHolder &holder, const SeatId &seat, const HostLife &life, Instant now,
+void noteSeat(ShareHolder &state, const SeatId &seat, const HostLife &occupant, Instant now,
               Span lateness)
 {
-    if (seat == holder.seat) {
-        holder.isSuperseded = holder.isSuperseded || life.incarnation > holder.self.incarnation;
+    if (seat == state.seat) {
+        state.isSuperseded = state.isSuperseded || occupant.incarnation > state.self.incarnation;
         return;
     }
-    SeatView &view = holder.seats[seat];
-    if (life.incarnation < view.life.incarnation)
+    SeatView &view = state.seats[seat];
+    if (occupant.incarnation < view.occupant.incarnation)
         return;
-    view.heardUntil = std::max(view.heardUntil, now + std::max(holder.settings.silence, lateness));
-    if (life == view.life)
+    view.reachableUntil = std::max(view.reachableUntil,
+                                   now + std::max(state.settings.silence, lateness));
+    if (occupant == view.occupant)
         return;
-    const HostLife former = view.life;
-    view.life = life;
-    view.statedSerial.reset();
-    for (auto &[id, shares] : holder.customers) {
-        const auto wallet = shares.wallets.find(former);
-        if (wallet != shares.wallets.end())
-            returnSurplus(wallet->second, wallet->second.available);
-        // The platform ends a host before it starts the next one in its seat, and one that was only
-        // paused stops when it wakes: its loans are not made any more.
+    const HostLife former = view.occupant;
+    view.occupant = occupant;
+    view.lastStatementSerial.reset();
+    for (auto &[id, shares] : state.customers) {
+        const auto account = shares.accounts.find(former);
+        if (account != shares.accounts.end())
+            returnSurplus(account->second, account->second.available);
+        // The platform terminates a host before it starts a successor, and one that was only paused
+        // stops when it resumes: its loans cannot be generated any more.
         const auto loan = shares.part.loans.find(former);
         if (loan != shares.part.loans.end())
-            loan->second.endsAt = std::min(loan->second.endsAt, now + holder.settings.takeoverWait);
+            loan->second.endsAt = std::min(loan->second.endsAt, now + state.settings.takeoverDelay);
     }
 }
 
-bool reserve(ShareHolder &holder, const RequestId &request, const CustomerId &customer, Tokens cost,
+bool reserve(ShareHolder &state, const RequestId &request, const CustomerId &customer, Tokens cost,
              Instant now)
 {
-    CustomerShares *shares = find(holder, customer);
-    if (!shares || !holder.isTrusted || holder.isSuperseded)
+    CustomerShares *shares = find(state, customer);
+    if (!shares || !state.isTrusted || state.isSuperseded)
         return false;
     refill(shares->part.bucket, now);
-    if (heldNow(*shares, now) < static_cast<double>(cost.count))
+    if (availableNow(*shares, now) < static_cast<double>(cost.count))
         return false;
     Reservation reservation;
     reservation.customer = customer;
-    const Tokens borrowed = takeBorrowed(*shares, cost, now, reservation);
+    const Tokens borrowed = reserveBorrowed(*shares, cost, now, reservation);
     const Tokens own = cost - borrowed;
     if (own.count > 0)
         tryReserve(shares->part.bucket, own, now);
     if (own.count > 0)
         reservation.sources.push_back(ReservationSource{ HostLife{}, own });
     if (borrowed.count > 0)
-        holder.lentRuns.push_back(LentRun{ now + holder.settings.longestRun, request });
-    holder.reservations[request] = std::move(reservation);
-    decayDemand(*shares, holder.settings, now);
-    shares->demand += static_cast<double>(cost.count) / toSeconds(holder.settings.demandMemory);
+        state.lentRequests.push_back(LentRequest{ now + state.settings.maxLentRunTime, request });
+    state.reservations[request] = std::move(reservation);
+    decayDemand(*shares, state.settings, now);
+    shares->demand += static_cast<double>(cost.count)
+            / toSeconds(state.settings.demandTimeConstant);
     return true;
 }
 
-void settle(ShareHolder &holder, const RequestId &request, Tokens amount, Instant now)
+void settle(ShareHolder &state, const RequestId &request, Tokens amount, Instant now)
 {
-    const auto found = holder.reservations.find(request);
-    if (found == holder.reservations.end())
+    const auto found = state.reservations.find(request);
+    if (found == state.reservations.end())
         return;
-    CustomerShares *shares = find(holder, found->second.customer);
+    CustomerShares *shares = find(state, found->second.customer);
     for (ReservationSource &source : found->second.sources) {
-        const Tokens made = std::min(amount, source.amount);
-        if (made.count <= 0 || !shares)
+        const Tokens generated = std::min(amount, source.amount);
+        if (generated.count <= 0 || !shares)
             continue;
-        source.amount -= made;
-        amount -= made;
+        source.amount -= generated;
+        amount -= generated;
         if (source.lender.host.value.empty()) {
-            settle(shares->part.bucket, made, now);
+            settle(shares->part.bucket, generated, now);
             continue;
         }
-        LoanWallet &wallet = shares->wallets[source.lender];
-        wallet.reserved -= made;
-        wallet.report.spent += made;
+        BorrowerAccount &account = shares->accounts[source.lender];
+        account.reserved -= generated;
+        account.report.spent += generated;
     }
 }
 
-void release(ShareHolder &holder, const RequestId &request, Instant now)
+void release(ShareHolder &state, const RequestId &request, Instant now)
 {
-    const auto found = holder.reservations.find(request);
-    if (found == holder.reservations.end())
+    const auto found = state.reservations.find(request);
+    if (found == state.reservations.end())
         return;
-    CustomerShares *shares = find(holder, found->second.customer);
+    CustomerShares *shares = find(state, found->second.customer);
     for (const ReservationSource &source : found->second.sources) {
         if (!shares || source.amount.count <= 0)
             continue;
@@ -206,23 +208,23 @@
             giveBack(shares->part.bucket, source.amount, now);
             continue;
         }
-        LoanWallet &wallet = shares->wallets[source.lender];
-        wallet.reserved -= source.amount;
-        wallet.available += source.amount;
-        voidUnusable(wallet, now);
+        BorrowerAccount &account = shares->accounts[source.lender];
+        account.reserved -= source.amount;
+        account.available += source.amount;
+        returnExpired(account, now);
     }
-    holder.reservations.erase(found);
+    state.reservations.erase(found);
 }
 
-std::vector<RequestId> takeOverdue(ShareHolder &holder, Instant now)
+std::vector<RequestId> takeOverdue(ShareHolder &state, Instant now)
 {
     std::vector<RequestId> overdue;
-    while (!holder.lentRuns.empty() && holder.lentRuns.front().endsAt <= now) {
-        if (holder.reservations.contains(holder.lentRuns.front().request))
-            overdue.push_back(holder.lentRuns.front().request);
-        holder.lentRuns.pop_front();
+    while (!state.lentRequests.empty() && state.lentRequests.front().endsAt <= now) {
+        if (state.reservations.contains(state.lentRequests.front().request))
+            overdue.push_back(state.lentRequests.front().request);
+        state.lentRequests.pop_front();
     }
-    holder.counters.overdueRuns += overdue.size();
+    state.counters.overdueRuns += overdue.size();
     return overdue;
 }
 
--- a/packages/limits/src/share_internal.h
+++ b/packages/limits/src/share_internal.h
@@ -4,26 +4,28 @@
 
 namespace azurewell::shares {
 
-std::uint32_t totalSeats(const ShareHolder &holder);
-CustomerShares *find(ShareHolder &holder, const CustomerId &customer);
-/// The view of \a seat where its holder can be asked now.
-const SeatView *reachable(const ShareHolder &holder, const SeatId &seat, Instant now);
-/// Borrowed and not reserved, all lenders together.
-Tokens availableOf(const CustomerShares &shares);
-/// What the own part and the wallets hold now.
-double heldNow(const CustomerShares &shares, Instant now);
-/// Gives the part the size that its steps allow.
-void shapePart(const ShareHolder &holder, CustomerShares &shares, Instant now);
-/// Moves `demand` to \a now.
+std::uint32_t totalSeats(const ShareHolder &state);
+CustomerShares *find(ShareHolder &state, const CustomerId &customer);
+/// The view of \a seat if its host is reachable at \a now, else null.
+const SeatView *reachable(const ShareHolder &state, const SeatId &seat, Instant now);
+/// Tokens borrowed from all lenders and not reserved.
+Tokens availableBorrowed(const CustomerShares &shares);
+/// Whole tokens that can be reserved at \a now from the own share and the loans.
+double availableNow(const CustomerShares &shares, Instant now);
+/// Resizes the bucket to the effective fraction of the share.
+void resizeShare(const ShareHolder &state, CustomerShares &shares, Instant now);
+/// Decays `demand` to \a now.
 void decayDemand(CustomerShares &shares, const ShareSettings &settings, Instant now);
-/// What the owner in \a part could lend by now, by its last word.
-double expectedLevel(const ShareHolder &holder, const CustomerShares &shares, const SeatPart &part,
+/// Tokens that the owner of \a share could lend at \a now, estimated from its last grant; 0 if it
+/// is unreachable.
+double expectedLevel(const ShareHolder &state, const CustomerShares &shares, const SeatShare &share,
                      Instant now);
-/// Cuts the room for loans of former lives to what seats that are not heard may hold of it.
-void cutUnheardLoans(ShareHolder &holder, Instant now);
-/// Drops the steps that every seat has left behind, and lets parts grow.
-void growParts(ShareHolder &holder, Instant now);
-/// Asks every seat whose statement is missing.
-void sendQueries(ShareHolder &holder, std::vector<ShareOutgoing> &out);
+/// Limits the tokens kept for former loans to those stated, and the maximum for each ordinal whose
+/// statement is missing.
+void limitFormerLoansByStatements(ShareHolder &state, Instant now);
+/// Drops the sizes that every host has superseded, and grows shares accordingly.
+void growShares(ShareHolder &state, Instant now);
+/// Queries every host whose statement is missing.
+void sendQueries(ShareHolder &state, std::vector<ShareOutgoing> &out);
 
 } // namespace azurewell::shares
--- a/packages/limits/src/share_part.cpp
+++ b/packages/limits/src/share_part.cpp
@@ -6,119 +6,119 @@
 
 namespace {
 
-Tokens clampTokens(Tokens amount, Tokens most)
+Tokens clampTokens(Tokens amount, Tokens limit)
 {
     return Tokens{ std::clamp<std::int64_t>(amount.count, 0,
-                                            std::max<std::int64_t>(0, most.count)) };
+                                            std::max<std::int64_t>(0, limit.count)) };
 }
 
-/// The account of \a borrower. A first report is the base line: what it says was lent earlier has
+/// The account of \a borrower. The first report is the baseline: what it lists as lent earlier has
 /// been written off.
-LoanAccount &accountOf(SharePart &part, const HostLife &borrower, const LoanReport &report)
+LenderAccount &accountOf(OwnedShare &share, const HostLife &borrower, const LoanReport &report)
 {
-    const auto [found, isNew] = part.loans.try_emplace(borrower);
+    const auto [found, isNew] = share.loans.try_emplace(borrower);
     if (isNew)
         found->second.report = report;
     return found->second;
 }
 
-Tokens lendable(SharePart &part, const LoanAccount &account, Tokens keepBack,
+Tokens lendable(OwnedShare &share, const LenderAccount &account, Tokens withheld,
                 const ShareSettings &settings, Instant now)
 {
-    refill(part.bucket, now);
-    const double most = part.bucket.burst * settings.mostPerBorrower;
-    const double byBorrower = most - static_cast<double>(outstandingOf(account).count);
-    const double byLevel = part.bucket.level - static_cast<double>(keepBack.count);
+    refill(share.bucket, now);
+    const double limit = share.bucket.burst * settings.mostPerBorrower;
+    const double byBorrower = limit - static_cast<double>(outstandingOf(account).count);
+    const double byLevel = share.bucket.level - static_cast<double>(withheld.count);
     return Tokens{ static_cast<std::int64_t>(std::max(0.0, std::min(byBorrower, byLevel))) };
 }
 
 } // namespace
 
-Tokens outstandingOf(const LoanAccount &account)
+Tokens outstandingOf(const LenderAccount &account)
 {
     return account.held + account.pending;
 }
 
-void noteReport(SharePart &part, LoanAccount &account, const LoanReport &report, Instant now)
+void applyReport(OwnedShare &share, LenderAccount &account, const LoanReport &report, Instant now)
 {
     LoanReport &known = account.report;
     if (report.closed >= account.pendingSerial && account.pending.count > 0) {
         const Tokens accepted = clampTokens(report.accepted - known.accepted, account.pending);
-        giveBack(part.bucket, account.pending - accepted, now);
+        giveBack(share.bucket, account.pending - accepted, now);
         account.held += accepted;
         account.pending = Tokens{};
     }
-    // The totals are taken over whole, also where the account was written off in between: a
-    // difference that is left over would count as made what is lent later.
+    // The totals are applied in full even if the account was written off in the meantime: a
+    // remaining difference would count later loans as generated.
     const Tokens spent = clampTokens(report.spent - known.spent, account.held);
     account.held -= spent;
-    settle(part.bucket, spent, now);
+    settle(share.bucket, spent, now);
     const Tokens returned = clampTokens(report.returned - known.returned, account.held);
     account.held -= returned;
-    giveBack(part.bucket, returned, now);
+    giveBack(share.bucket, returned, now);
     known.closed = std::max(known.closed, report.closed);
     known.accepted = std::max(known.accepted, report.accepted);
     known.spent = std::max(known.spent, report.spent);
     known.returned = std::max(known.returned, report.returned);
 }
 
-Tokens lend(SharePart &part, const HostLife &borrower, const ShareAsk &ask, Tokens keepBack,
+Tokens lend(OwnedShare &share, const HostLife &borrower, const ShareAsk &ask, Tokens withheld,
             const ShareSettings &settings, Instant now)
 {
-    LoanAccount &account = accountOf(part, borrower, ask.report);
-    noteReport(part, account, ask.report, now);
+    LenderAccount &account = accountOf(share, borrower, ask.report);
+    applyReport(share, account, ask.report, now);
     if (ask.serial == account.pendingSerial)
         return account.pending;
     if (ask.serial < account.pendingSerial || ask.serial <= account.report.closed)
         return Tokens{};
-    // The asker sends one ask at a time, and the report in this one has closed the one before.
-    const Tokens amount = std::min(ask.wanted, lendable(part, account, keepBack, settings, now));
+    // A borrower has one open request at a time, and this report has closed the previous one.
+    const Tokens amount = std::min(ask.wanted, lendable(share, account, withheld, settings, now));
     account.pendingSerial = ask.serial;
     account.pending = amount;
-    if (!settings.faults.lendsWithoutHold)
-        tryReserve(part.bucket, amount, now);
+    if (!settings.faults.lendsWithoutReserving)
+        tryReserve(share.bucket, amount, now);
     if (amount.count > 0) {
-        const Span hold = settings.lease + settings.longestRun;
+        const Span hold = settings.lease + settings.maxLentRunTime;
         account.endsAt = now + hold + fromSeconds(toSeconds(hold) * settings.clockDrift);
     }
     return amount;
 }
 
-void writeOffLoans(SharePart &part, Instant now)
+void writeOffLoans(OwnedShare &share, Instant now)
 {
-    for (auto loan = part.loans.begin(); loan != part.loans.end();) {
-        LoanAccount &account = loan->second;
+    for (auto loan = share.loans.begin(); loan != share.loans.end();) {
+        LenderAccount &account = loan->second;
         const bool isOver = account.endsAt <= now;
         if (isOver)
-            settle(part.bucket, outstandingOf(account), now);
-        loan = isOver ? part.loans.erase(loan) : std::next(loan);
+            settle(share.bucket, outstandingOf(account), now);
+        loan = isOver ? share.loans.erase(loan) : std::next(loan);
     }
-    if (part.formerLoans > 0 && part.formerLoansEnd <= now)
-        cutFormerLoans(part, 0, now);
+    if (share.formerLoans > 0 && share.formerLoansEndAt <= now)
+        limitFormerLoans(share, 0, now);
 }
 
-void cutFormerLoans(SharePart &part, double most, Instant now)
+void limitFormerLoans(OwnedShare &share, double limit, Instant now)
 {
-    const double freed = part.formerLoans - std::max(0.0, most);
+    const double freed = share.formerLoans - std::max(0.0, limit);
     if (freed <= 0)
         return;
-    refill(part.bucket, now);
-    part.bucket.reserved = std::max(0.0, part.bucket.reserved - freed);
-    part.formerLoans -= freed;
+    refill(share.bucket, now);
+    share.bucket.reserved = std::max(0.0, share.bucket.reserved - freed);
+    share.formerLoans -= freed;
 }
 
-double fractionInForce(const SharePart &part)
+double effectiveFraction(const OwnedShare &share)
 {
-    double smallest = part.steps.empty() ? 0.0 : part.steps.back().fraction;
-    for (const PartStep &step : part.steps)
-        smallest = std::min(smallest, step.fraction);
+    double smallest = share.sizes.empty() ? 0.0 : share.sizes.back().fraction;
+    for (const ShareSize &size : share.sizes)
+        smallest = std::min(smallest, size.fraction);
     return smallest;
 }
 
-void pruneSteps(SharePart &part, TicketNumber settledEverywhere)
+void pruneSizes(OwnedShare &share, TicketNumber settledEverywhere)
 {
-    while (part.steps.size() > 1 && part.steps[1].ticket <= settledEverywhere)
-        part.steps.erase(part.steps.begin());
+    while (share.sizes.size() > 1 && share.sizes[1].ticket <= settledEverywhere)
+        share.sizes.erase(share.sizes.begin());
 }
 
 } // namespace azurewell
--- a/packages/limits/src/token_bucket.cpp
+++ b/packages/limits/src/token_bucket.cpp
@@ -9,8 +9,8 @@
     if (now <= bucket.refilledAt)
         return;
     const double earned = toSeconds(now - bucket.refilledAt) * bucket.ratePerSecond;
-    const double room = std::max(0.0, bucket.burst - bucket.reserved);
-    bucket.level = std::min(bucket.level + earned, room);
+    const double capacity = std::max(0.0, bucket.burst - bucket.reserved);
+    bucket.level = std::min(bucket.level + earned, capacity);
     bucket.refilledAt = now;
 }
 
--- a/packages/limits/tests/share_conservation_test.cpp
+++ b/packages/limits/tests/share_conservation_test.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-/// Short times, so that a few seconds hold many leases, runs and takeovers.
+/// Short times, so that a run of a few seconds covers many leases, requests and takeovers.
 ShareSettings shortTimes()
 {
     ShareSettings settings;
     settings.lease = fromSeconds(0.5);
-    settings.longestRun = fromSeconds(1);
+    settings.maxLentRunTime = fromSeconds(1);
     settings.silence = fromSeconds(0.5);
-    settings.wakeLimit = fromSeconds(0.2);
-    settings.takeoverWait = fromSeconds(0.25);
+    settings.pauseThreshold = fromSeconds(0.2);
+    settings.takeoverDelay = fromSeconds(0.25);
     settings.queryInterval = fromSeconds(0.1);
-    settings.mutualDoubt = fromSeconds(3);
-    settings.layout.smallestPart = 100;
+    settings.mutualDoubtTimeout = fromSeconds(3);
+    settings.layout.minShareTokens = 100;
     return settings;
 }
 
@@ -25,11 +25,11 @@
 {
     FleetFaults faults;
     faults.lost = 0.05;
-    faults.doubled = 0.05;
-    faults.mostDelay = fromSeconds(0.4);
+    faults.duplicated = 0.05;
+    faults.maxDelay = fromSeconds(0.4);
     faults.pausesPerSecond = 0.3;
     faults.replacementsPerSecond = 0.15;
-    faults.cutsPerSecond = 0.15;
+    faults.partitionsPerSecond = 0.15;
     faults.ticketsPerSecond = 0.2;
     return faults;
 }
@@ -42,7 +42,7 @@
     return ticket;
 }
 
-/// Two seats: each part is half of the whole, so that a fault at one shows clearly.
+/// Two host ordinals: each share is half of the whole, so that a fault at one is clearly visible.
 FleetTicket twoSeats()
 {
     FleetTicket ticket = firstTicket();
@@ -57,9 +57,9 @@
 {
 };
 
-/// Whether a run of one of the first \a seeds breaks the bound.
-bool breaksTheBound(const ShareSettings &settings, const FleetFaults &faults,
-                    const FleetTicket &ticket, std::uint64_t seeds = 100)
+/// Whether a run with one of the first \a seeds violates the bound.
+bool violatesBound(const ShareSettings &settings, const FleetFaults &faults,
+                   const FleetTicket &ticket, std::uint64_t seeds = 100)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         ShareFleet fleet(seed, settings, faults, ticket);
@@ -72,10 +72,10 @@
 
 } // namespace
 
-// Messages are lost, doubled and late, hosts are paused and replaced, zones are cut off, tickets
-// change rate, burst and seats, all at once, while the customer sends far above its rate in bursts.
-// Over no window may it receive more than rate times window plus burst.
-TEST_P(ShareConservation, NoWindowHoldsMoreThanRateAndBurst)
+// Guards against exceeding rate x window + burst over any window. Messages are lost, duplicated and
+// delayed, hosts paused and replaced, zones partitioned, and tickets change rate, burst and host
+// ordinals, all at once, while the customer sends bursts far above its rate.
+TEST_P(ShareConservation, NoWindowExceedsRateAndBurst)
 {
     constexpr std::uint64_t seedsPerTest = 125;
     const std::uint64_t first = GetParam() * seedsPerTest;
@@ -87,20 +87,20 @@
         EXPECT_GT(fleet.admitted, 0U) << "seed " << seed;
         fullest = std::max(fullest, fleet.meter.fullest);
     }
-    // Runs that never come near the bound would prove nothing.
+    // Runs that never come near the bound would not test it.
     EXPECT_GT(fullest, 0.8);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ShareConservation, testing::Range<std::uint64_t>(0, 8));
 
-// A zone is cut off from the others while both sides are under full load. Both go on serving on the
-// parts they hold, and the customer gets no more in sum.
-TEST(ShareConservationFaults, BothSidesOfACutServeWithinTheBound)
+// Guards against serving nothing, or more than the bound, during a network partition: a zone is
+// partitioned from the others under full load, and both sides serve from the shares they own.
+TEST(ShareConservationFaults, BothSidesOfAPartitionServeWithinTheBound)
 {
     ShareFleet fleet(1, shortTimes(), FleetFaults{}, firstTicket());
     fleet.run(fromSeconds(3));
     for (const char *other : { "b", "c" })
-        fleet.cutUntil[{ ZoneId{ "a" }, ZoneId{ other } }] = fleet.now + fromSeconds(30);
+        fleet.partitionedUntil[{ ZoneId{ "a" }, ZoneId{ other } }] = fleet.now + fromSeconds(30);
     const std::vector<std::uint64_t> before = fleet.admittedByHost();
     fleet.run(fromSeconds(20));
     const std::vector<std::uint64_t> after = fleet.admittedByHost();
@@ -109,35 +109,36 @@
     EXPECT_LE(fleet.meter.worst, roundingTokens);
 }
 
-// A fresh host starts with its whole part of the burst: with each replacement the customer gets
-// that part once more. The check has to see it.
-TEST(ShareConservationFaults, AFullFreshPartIsSeen)
+// The check must detect a new host that starts with its whole share of the burst: with each
+// replacement the customer would get that share again.
+TEST(ShareConservationFaults, FullNewShareIsDetected)
 {
     ShareSettings settings = shortTimes();
     FleetFaults faults;
     faults.replacementsPerSecond = 1;
-    EXPECT_FALSE(breaksTheBound(settings, faults, twoSeats(), 1000));
-    settings.faults.newPartIsFull = true;
-    EXPECT_TRUE(breaksTheBound(settings, faults, twoSeats(), 1000));
+    EXPECT_FALSE(violatesBound(settings, faults, twoSeats(), 1000));
+    settings.faults.newShareIsFull = true;
+    EXPECT_TRUE(violatesBound(settings, faults, twoSeats(), 1000));
 }
 
-// A lender's bucket refills over the tokens that it has lent, and both are made at once.
-TEST(ShareConservationFaults, LendingWithoutHoldIsSeen)
+// The check must detect a lender whose bucket refills over the tokens that it has lent, so that
+// both are generated at once.
+TEST(ShareConservationFaults, LendingWithoutReservingIsDetected)
 {
     ShareSettings settings = shortTimes();
-    EXPECT_FALSE(breaksTheBound(settings, FleetFaults{}, firstTicket()));
-    settings.faults.lendsWithoutHold = true;
-    EXPECT_TRUE(breaksTheBound(settings, FleetFaults{}, firstTicket()));
+    EXPECT_FALSE(violatesBound(settings, FleetFaults{}, firstTicket()));
+    settings.faults.lendsWithoutReserving = true;
+    EXPECT_TRUE(violatesBound(settings, FleetFaults{}, firstTicket()));
 }
 
-// A grant arrives twice and is counted twice.
-TEST(ShareConservationFaults, ADoubledGrantIsSeen)
+// The check must detect a grant that arrives twice and is counted twice.
+TEST(ShareConservationFaults, DuplicateGrantIsDetected)
 {
     ShareSettings settings = shortTimes();
     FleetFaults faults;
-    faults.doubled = 0.5;
-    faults.mostDelay = fromSeconds(0.2);
-    EXPECT_FALSE(breaksTheBound(settings, faults, firstTicket()));
+    faults.duplicated = 0.5;
+    faults.maxDelay = fromSeconds(0.2);
+    EXPECT_FALSE(violatesBound(settings, faults, firstTicket()));
     settings.faults.acceptsDuplicates = true;
-    EXPECT_TRUE(breaksTheBound(settings, faults, firstTicket()));
+    EXPECT_TRUE(violatesBound(settings, faults, firstTicket()));
 }
--- a/packages/limits/tests/share_fleet.cpp
+++ b/packages/limits/tests/share_fleet.cpp
@@ -8,7 +8,7 @@
 
 const CustomerId onlyCustomer{ "c" };
 
-/// Differs between seats as a real hash does.
+/// Differs between host ordinals, as a real hash does.
 std::uint64_t weightOf(const CustomerId &, const SeatId &seat)
 {
     return (seat.number.value * 2654435761U) ^ (seat.zone.value.back() * 40503U);
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void noteMade(BoundMeter &meter, Tokens amount, Instant now)
+void recordGenerated(BoundMeter &meter, Tokens amount, Instant now)
 {
     meter.excess = std::max(0.0, meter.excess - toSeconds(now - meter.at) * meter.ratePerSecond);
     meter.at = now;
@@ -27,7 +27,7 @@
 
 void setBound(BoundMeter &meter, double ratePerSecond, double burst, Instant now)
 {
-    noteMade(meter, Tokens{}, now);
+    recordGenerated(meter, Tokens{}, now);
     if (burst < meter.burst || ratePerSecond < meter.ratePerSecond)
         meter.excess = 0;
     meter.ratePerSecond = ratePerSecond;
@@ -40,12 +40,12 @@
     , settings(fleetSettings)
     , faults(fleetFaults)
 {
-    this->lumped = this->uniform() < 0.5 ? 1.0 : 0.5;
+    this->fractionAtOnce = this->uniform() < 0.5 ? 1.0 : 0.5;
     this->meter.at = this->now;
     this->publish(std::move(first));
     for (const auto &[zone, count] : this->tickets.front().zones) {
         for (std::uint32_t number = 0; number < count; ++number)
-            this->beginHost(SeatId{ zone, SeatNumber{ number } });
+            this->startHost(SeatId{ zone, SeatNumber{ number } });
     }
 }
 
@@ -60,13 +60,13 @@
     return Instant{ static_cast<std::int64_t>(sinceStart) };
 }
 
-void ShareFleet::beginHost(const SeatId &seat)
+void ShareFleet::startHost(const SeatId &seat)
 {
     ++this->sequence;
     FleetHost host;
-    const HostLife life{ HostId{ "h" + std::to_string(this->hosts.size()) },
+    const HostLife self{ HostId{ "h" + std::to_string(this->hosts.size()) },
                          Incarnation{ this->sequence } };
-    host.holder = makeShareHolder(seat, life, &weightOf, this->settings);
+    host.shares = makeShareHolder(seat, self, &weightOf, this->settings);
     host.clockRate = 1.0 + (this->uniform() - 0.5) * 8e-4; // 400 parts in a million either way
     host.startedAt = this->now;
     this->hosts.push_back(std::move(host));
@@ -85,16 +85,16 @@
     return !host.isEnded && host.startedAt <= this->now && host.pausedUntil <= this->now;
 }
 
-bool ShareFleet::isCut(const ZoneId &a, const ZoneId &b) const
+bool ShareFleet::isPartitioned(const ZoneId &a, const ZoneId &b) const
 {
-    const auto cut = this->cutUntil.find({ std::min(a, b), std::max(a, b) });
-    return a != b && cut != this->cutUntil.end() && this->now < cut->second;
+    const auto cut = this->partitionedUntil.find({ std::min(a, b), std::max(a, b) });
+    return a != b && cut != this->partitionedUntil.end() && this->now < cut->second;
 }
 
-/// The larger of the terms that a host may still follow.
+/// Sets the bound to the largest of the terms that a host may still apply.
 void ShareFleet::updateBound()
 {
-    const double hold = toSeconds(this->settings.lease + this->settings.longestRun) * 1.1;
+    const double hold = toSeconds(this->settings.lease + this->settings.maxLentRunTime) * 1.1;
     double rate = this->tickets.back().terms.ratePerSecond;
     double burst = this->tickets.back().terms.burst;
     std::size_t oldest = this->tickets.size();
@@ -113,15 +113,16 @@
 
 void ShareFleet::replace(std::size_t index)
 {
-    const SeatId seat = this->hosts[index].holder.seat;
-    const bool isPaused = this->hosts[index].pausedUntil > this->now + this->settings.wakeLimit;
+    const SeatId seat = this->hosts[index].shares.seat;
+    const bool isPaused = this->hosts[index].pausedUntil
+            > this->now + this->settings.pauseThreshold;
     if (!isPaused)
-        this->hosts[index].isEnded = true; // a paused one wakes up beside its successor
-    this->beginHost(seat);
+        this->hosts[index].isEnded = true; // a paused host resumes beside its successor
+    this->startHost(seat);
     this->hosts.back().startedAt = this->now + fromSeconds(this->uniform() * 0.5);
 }
 
-void ShareFleet::breakThings()
+void ShareFleet::injectFaults()
 {
     const double length = toSeconds(stepLength);
     const auto happens = [&](double perSecond) {
@@ -133,16 +134,16 @@
         host.pausedUntil = this->now + fromSeconds(this->uniform() * 3);
     const bool isNewest = std::none_of(
             this->hosts.begin(), this->hosts.end(), [&host](const FleetHost &other) {
-                return other.holder.seat == host.holder.seat
-                        && other.holder.self.incarnation > host.holder.self.incarnation;
+                return other.shares.seat == host.shares.seat
+                        && other.shares.self.incarnation > host.shares.self.incarnation;
             });
     const bool canReplace = !host.isEnded && host.startedAt <= this->now && isNewest;
     if (happens(this->faults.replacementsPerSecond) && canReplace)
         this->replace(victim);
-    if (happens(this->faults.cutsPerSecond)) {
-        const ZoneId &a = this->hosts[this->random() % this->hosts.size()].holder.seat.zone;
-        const ZoneId &b = this->hosts[this->random() % this->hosts.size()].holder.seat.zone;
-        this->cutUntil[{ std::min(a, b), std::max(a, b) }] = this->now
+    if (happens(this->faults.partitionsPerSecond)) {
+        const ZoneId &a = this->hosts[this->random() % this->hosts.size()].shares.seat.zone;
+        const ZoneId &b = this->hosts[this->random() % this->hosts.size()].shares.seat.zone;
+        this->partitionedUntil[{ std::min(a, b), std::max(a, b) }] = this->now
                 + fromSeconds(this->uniform() * 4);
     }
     if (happens(this->faults.ticketsPerSecond)) {
@@ -159,7 +160,7 @@
         this->hotHost = this->random() % this->hosts.size();
 }
 
-/// Gives one zone another number of seats, and each new seat a host.
+/// Changes the number of ordinals of one zone, and starts a host at each new one.
 void ShareFleet::changeSeats(FleetTicket &ticket)
 {
     auto zone = ticket.zones.begin();
@@ -169,21 +170,21 @@
         const SeatId seat{ zone->first, SeatNumber{ number } };
         const bool isFilled = std::any_of(this->hosts.begin(), this->hosts.end(),
                                           [&seat](const FleetHost &host) {
-                                              return !host.isEnded && host.holder.seat == seat;
+                                              return !host.isEnded && host.shares.seat == seat;
                                           });
         if (!isFilled)
-            this->beginHost(seat);
+            this->startHost(seat);
     }
 }
 
 void ShareFleet::readTickets(FleetHost &host)
 {
-    // Each host learns of a ticket after a while of its own; a fresh one reads them all in turn.
+    // Hosts receive a ticket after random delays; a new host applies all tickets in order.
     const bool isFresh = host.ticketsRead == 0;
     while (host.ticketsRead < this->tickets.size() && (isFresh || this->uniform() < 0.05)) {
         const FleetTicket &ticket = this->tickets[host.ticketsRead];
         ++host.ticketsRead;
-        setTerms(host.holder, TicketNumber{ host.ticketsRead }, ticket.zones, { ticket.terms },
+        setTerms(host.shares, TicketNumber{ host.ticketsRead }, ticket.zones, { ticket.terms },
                  this->localTime(host));
     }
 }
@@ -192,17 +193,18 @@
 {
     for (ShareOutgoing &message : out) {
         const std::size_t to = std::stoul(message.to.value.substr(1));
-        const int copies = this->uniform() < this->faults.doubled ? 2 : 1;
+        const int copies = this->uniform() < this->faults.duplicated ? 2 : 1;
         for (int copy = 0; copy < copies; ++copy) {
             const bool isLost = this->uniform() < this->faults.lost
-                    || this->isCut(from.holder.seat.zone, this->hosts[to].holder.seat.zone);
+                    || this->isPartitioned(from.shares.seat.zone, this->hosts[to].shares.seat.zone);
             if (isLost)
                 continue;
-            // The square makes most delays short and a few long: messages overtake each other.
-            const double part = this->uniform();
-            const Span delay = fromSeconds(toSeconds(this->faults.mostDelay) * part * part);
+            // The square makes most delays short and a few long, so that messages are reordered.
+            const double delayScale = this->uniform();
+            const Span delay = fromSeconds(toSeconds(this->faults.maxDelay) * delayScale
+                                           * delayScale);
             this->messages.push(FleetMessage{ this->now + delay, ++this->sequence, to,
-                                              from.holder.self, message.body });
+                                              from.shares.self, message.body });
         }
     }
     out.clear();
@@ -211,13 +213,13 @@
 void ShareFleet::deliver(FleetHost &host, const FleetMessage &message)
 {
     std::vector<ShareOutgoing> out;
-    onShareMessage(host.holder, message.sender, message.body, this->localTime(host), out);
+    onShareMessage(host.shares, message.sender, message.body, this->localTime(host), out);
     this->send(host, out);
 }
 
-void ShareFleet::arrive()
+void ShareFleet::addArrivals()
 {
-    // Idle, so that the parts fill, then far above the rate: only a full bucket tests the burst.
+    // Idle, so that the shares fill, then far above the rate: only full buckets test the burst.
     if (this->now >= this->phaseEnds) {
         this->isBusy = !this->isBusy;
         this->phaseEnds = this->now + fromSeconds(0.3 + 3 * this->uniform());
@@ -233,32 +235,32 @@
         FleetRequest request;
         request.id = RequestId{ std::to_string(++this->sequence) };
         request.cost = Tokens{ 1 + static_cast<std::int64_t>(this->random() % 300) };
-        request.isLumped = this->uniform() < this->lumped;
+        request.endsAtOnce = this->uniform() < this->fractionAtOnce;
         host.waiting.push_back(request);
     }
 }
 
-void ShareFleet::makeTokens(FleetHost &host)
+void ShareFleet::generateTokens(FleetHost &host)
 {
     const Instant local = this->localTime(host);
-    for (const RequestId &overdue : takeOverdue(host.holder, local)) {
+    for (const RequestId &overdue : takeOverdue(host.shares, local)) {
         std::erase_if(host.running, [&](const FleetRequest &run) { return run.id == overdue; });
-        release(host.holder, overdue, local);
+        release(host.shares, overdue, local);
     }
-    if (host.holder.isSuperseded)
+    if (host.shares.isSuperseded)
         host.running.clear();
-    if (!host.holder.isTrusted)
+    if (!host.shares.isTrusted)
         return;
     for (FleetRequest &request : host.running) {
         const bool isOver = request.endsAt <= this->now;
-        const std::int64_t left = request.cost.count - request.made.count;
-        const std::int64_t some = request.isLumped ? 0 : left / 4;
-        const Tokens made{ isOver ? left : some };
-        request.made += made;
-        settle(host.holder, request.id, made, local);
-        noteMade(this->meter, made, this->now);
+        const std::int64_t remaining = request.cost.count - request.generated.count;
+        const std::int64_t quarter = request.endsAtOnce ? 0 : remaining / 4;
+        const Tokens generated{ isOver ? remaining : quarter };
+        request.generated += generated;
+        settle(host.shares, request.id, generated, local);
+        recordGenerated(this->meter, generated, this->now);
         if (isOver)
-            release(host.holder, request.id, local);
+            release(host.shares, request.id, local);
     }
     std::erase_if(host.running,
                   [this](const FleetRequest &request) { return request.endsAt <= this->now; });
@@ -269,17 +271,17 @@
     const Instant local = this->localTime(host);
     while (!host.waiting.empty()) {
         FleetRequest request = host.waiting.front();
-        if (!reserve(host.holder, request.id, onlyCustomer, request.cost, local))
+        if (!reserve(host.shares, request.id, onlyCustomer, request.cost, local))
             break;
         host.waiting.pop_front();
         ++this->admitted;
         ++host.admitted;
-        // Some run for longer than lent tokens allow; those are ended by takeOverdue().
-        const double longest = toSeconds(this->settings.longestRun) * 1.2;
+        // Some run for longer than lent tokens allow; takeOverdue() ends those.
+        const double longest = toSeconds(this->settings.maxLentRunTime) * 1.2;
         request.endsAt = this->now + fromSeconds(this->uniform() * longest);
-        // The worst that engines can do to the bound: all end at the same moments.
+        // The worst case for the bound: all requests end at the same moments.
         constexpr std::int64_t together = 1'000'000;
-        if (request.isLumped)
+        if (request.endsAtOnce)
             request.endsAt.micros = (this->now.micros / together + 1) * together;
         host.running.push_back(request);
     }
@@ -291,34 +293,34 @@
     for (const FleetRequest &request : host.waiting)
         waiting += request.cost;
     std::vector<ShareOutgoing> out;
-    seekTokens(host.holder, onlyCustomer, waiting, local, out);
+    seekTokens(host.shares, onlyCustomer, waiting, local, out);
     this->send(host, out);
 }
 
-void ShareFleet::tend(FleetHost &host)
+void ShareFleet::poll(FleetHost &host)
 {
-    noteTime(host.holder, this->localTime(host));
+    noteTime(host.shares, this->localTime(host));
     this->readTickets(host);
     for (const FleetHost &other : this->hosts) {
-        const bool isHeard = &other != &host && this->isRunning(other)
-                && !this->isCut(other.holder.seat.zone, host.holder.seat.zone)
+        const bool isReachable = &other != &host && this->isRunning(other)
+                && !this->isPartitioned(other.shares.seat.zone, host.shares.seat.zone)
                 && this->uniform() < 0.1;
-        if (isHeard)
-            noteSeat(host.holder, other.holder.seat, other.holder.self, this->localTime(host));
+        if (isReachable)
+            noteSeat(host.shares, other.shares.seat, other.shares.self, this->localTime(host));
     }
     std::vector<ShareOutgoing> out;
-    tendShares(host.holder, this->localTime(host), out);
+    tendShares(host.shares, this->localTime(host), out);
     this->send(host, out);
-    this->makeTokens(host);
+    this->generateTokens(host);
     this->admit(host);
 }
 
 void ShareFleet::step()
 {
     this->now = this->now + stepLength;
-    this->breakThings();
+    this->injectFaults();
     this->updateBound();
-    this->arrive();
+    this->addArrivals();
     while (!this->messages.empty() && this->messages.top().arrivesAt <= this->now) {
         const FleetMessage message = this->messages.top();
         this->messages.pop();
@@ -332,11 +334,11 @@
         FleetHost &host = this->hosts[index];
         if (!this->isRunning(host))
             continue;
-        // What arrived during a pause is read late, when it is an old belief.
+        // Messages that arrived during a pause are read after it, when they are stale.
         std::vector<std::pair<HostLife, ShareBody>> inbox = std::exchange(host.inbox, {});
         for (auto &[sender, body] : inbox)
             this->deliver(host, FleetMessage{ this->now, 0, index, sender, body });
-        this->tend(host);
+        this->poll(host);
     }
 }
 
--- a/packages/limits/tests/share_fleet.h
+++ b/packages/limits/tests/share_fleet.h
@@ -9,38 +9,38 @@
 
 namespace azurewell {
 
-/// Whether a customer stays within rate x window + burst over every window, checked as tokens are
-/// made: `excess` is the largest of (made - rate x length) over all windows that end now.
+/// Checks that a customer stays within rate x window + burst over every window, as tokens are
+/// generated: `excess` is the maximum of (generated - rate x length) over all windows that end now.
 struct BoundMeter
 {
     double ratePerSecond = 0;
     double burst = 0;
     double excess = 0;
-    double worst = 0;   ///< The largest excess over the burst so far; above zero is a violation.
-    double fullest = 0; ///< The largest part of the burst that was ever used.
+    double worst = 0;   ///< Maximum excess over the burst so far; above zero is a violation.
+    double fullest = 0; ///< Maximum fraction of the burst used so far.
     Instant at;
 };
 
-void noteMade(BoundMeter &meter, Tokens amount, Instant now);
-/// Changes the bound; a smaller one counts for windows that begin from now on.
+void recordGenerated(BoundMeter &meter, Tokens amount, Instant now);
+/// Changes the bound; a smaller one applies to windows that begin at \a now or later.
 void setBound(BoundMeter &meter, double ratePerSecond, double burst, Instant now);
 
-/// A ticket of the small fleet: seats of each zone, and one customer's terms.
+/// A ticket of the simulated fleet: host ordinals of each zone, and one customer's terms.
 struct FleetTicket
 {
     ZoneSeats zones;
     ShareTerms terms;
 };
 
-/// How likely and how long things go wrong.
+/// Probabilities, rates and durations of the injected faults.
 struct FleetFaults
 {
     double lost = 0;
-    double doubled = 0;
-    Span mostDelay = fromSeconds(0.02);
-    double pausesPerSecond = 0; ///< Of all hosts together, as the rates below.
+    double duplicated = 0;
+    Span maxDelay = fromSeconds(0.02);
+    double pausesPerSecond = 0; ///< Over all hosts, like the rates below.
     double replacementsPerSecond = 0;
-    double cutsPerSecond = 0;
+    double partitionsPerSecond = 0;
     double ticketsPerSecond = 0;
 };
 
@@ -48,14 +48,14 @@
 {
     RequestId id;
     Tokens cost;
-    Tokens made;
-    Instant endsAt;        ///< Global time.
-    bool isLumped = false; ///< All tokens come at the end.
+    Tokens generated;
+    Instant endsAt;          ///< Global time.
+    bool endsAtOnce = false; ///< All tokens are generated at the end.
 };
 
 struct FleetHost
 {
-    ShareHolder holder;
+    ShareHolder shares;
     double clockRate = 1.0;
     std::size_t ticketsRead = 0;
     Instant startedAt;
@@ -64,7 +64,7 @@
     std::uint64_t admitted = 0;
     std::vector<FleetRequest> running;
     std::deque<FleetRequest> waiting;
-    std::vector<std::pair<HostLife, ShareBody>> inbox; ///< Arrived while it was paused.
+    std::vector<std::pair<HostLife, ShareBody>> inbox; ///< Messages that arrived during a pause.
 };
 
 struct FleetMessage
@@ -81,15 +81,15 @@
     }
 };
 
-/// A few share holders with one customer, and everything that can go wrong between them, from one
-/// seed. Time advances by steps of stepLength.
+/// Simulates hosts that share one customer's rate, with faults injected from one seed. Time
+/// advances in steps of stepLength.
 struct ShareFleet
 {
     ShareFleet(std::uint64_t seed, ShareSettings settings, FleetFaults faults, FleetTicket first);
 
     void run(Span length);
     void step();
-    /// A host is ended and another one begins in its seat, or the paused one wakes beside it.
+    /// Terminates a host and starts a successor at its ordinal; a paused host resumes beside it.
     void replace(std::size_t index);
     void publish(FleetTicket ticket);
     std::vector<std::uint64_t> admittedByHost() const;
@@ -104,13 +104,13 @@
     std::vector<Instant> publishedAt;
     std::vector<FleetHost> hosts;
     std::priority_queue<FleetMessage> messages;
-    std::map<std::pair<ZoneId, ZoneId>, Instant> cutUntil;
+    std::map<std::pair<ZoneId, ZoneId>, Instant> partitionedUntil;
     BoundMeter meter;
-    double requestsPerSecond = 120; ///< While it is busy.
-    double lumped = 0.5;            ///< This part of the requests gets all its tokens at the end.
+    double requestsPerSecond = 120; ///< In a busy phase.
+    double fractionAtOnce = 0.5;    ///< Fraction of requests that get all tokens at their end.
     bool isBusy = false;
     Instant phaseEnds;
-    std::size_t hotHost = 0; ///< Gets most of the requests.
+    std::size_t hotHost = 0; ///< Receives most of the requests.
     std::uint64_t sequence = 0;
     std::uint64_t admitted = 0;
     std::uint64_t refused = 0;
@@ -118,16 +118,16 @@
 private:
     double uniform();
     Instant localTime(const FleetHost &host) const;
-    void beginHost(const SeatId &seat);
+    void startHost(const SeatId &seat);
     bool isRunning(const FleetHost &host) const;
-    bool isCut(const ZoneId &a, const ZoneId &b) const;
-    void breakThings();
+    bool isPartitioned(const ZoneId &a, const ZoneId &b) const;
+    void injectFaults();
     void changeSeats(FleetTicket &ticket);
     void readTickets(FleetHost &host);
-    void arrive();
+    void addArrivals();
     void deliver(FleetHost &host, const FleetMessage &message);
-    void tend(FleetHost &host);
-    void makeTokens(FleetHost &host);
+    void poll(FleetHost &host);
+    void generateTokens(FleetHost &host);
     void admit(FleetHost &host);
     void send(const FleetHost &from, std::vector<ShareOutgoing> &out);
     void updateBound();
--- a/packages/limits/tests/share_holder_test.cpp
+++ b/packages/limits/tests/share_holder_test.cpp
@@ -20,24 +20,24 @@
     return SeatId{ ZoneId{ zone }, SeatNumber{ number } };
 }
 
-/// Holders of seats that hear each other at once unless a link is cut.
-struct Holders
+/// Hosts that exchange messages without delay, except those that are partitioned.
+struct TestFleet
 {
     std::vector<ShareHolder> hosts;
     ShareSettings settings;
     Instant now{ 1'000'000 };
-    std::set<HostId> silent; ///< Neither send nor receive.
-    std::uint64_t lives = 0;
+    std::set<HostId> silent; ///< Hosts that neither send nor receive.
+    std::uint64_t serial = 0;
 
-    Holders()
+    TestFleet()
     {
-        this->settings.layout.smallestPart = 100;
+        this->settings.layout.minShareTokens = 100;
     }
     std::size_t begin(const SeatId &seat)
     {
         const std::size_t index = this->hosts.size();
-        const HostLife life{ HostId{ std::to_string(index) }, Incarnation{ ++this->lives } };
-        this->hosts.push_back(makeShareHolder(seat, life, &weightOf, this->settings));
+        const HostLife self{ HostId{ std::to_string(index) }, Incarnation{ ++this->serial } };
+        this->hosts.push_back(makeShareHolder(seat, self, &weightOf, this->settings));
         noteTime(this->hosts.back(), this->now);
         return index;
     }
@@ -62,7 +62,7 @@
     {
         return this->silent.contains(this->hosts[host].self.host);
     }
-    void tend()
+    void poll()
     {
         for (std::size_t host = 0; host < this->hosts.size(); ++host) {
             if (this->isSilent(host))
@@ -81,10 +81,10 @@
         const Instant until = this->now + fromSeconds(seconds);
         while (this->now < until) {
             this->now = this->now + fromSeconds(0.05);
-            this->tend();
+            this->poll();
         }
     }
-    /// Reserves as much as \a host can get, a request of 100 tokens at a time.
+    /// Reserves as much as \a host can get, in requests of 100 tokens.
     std::int64_t reserveAll(std::size_t host)
     {
         std::int64_t reserved = 0;
@@ -92,7 +92,7 @@
             std::vector<ShareOutgoing> out;
             seekTokens(this->hosts[host], customer, Tokens{ 100 }, this->now, out);
             this->send(host, out);
-            const RequestId id{ std::to_string(host) + "-" + std::to_string(++this->lives) };
+            const RequestId id{ std::to_string(host) + "-" + std::to_string(++this->serial) };
             reserved += reserve(this->hosts[host], id, customer, Tokens{ 100 }, this->now) ? 100
                                                                                            : 0;
         }
@@ -104,15 +104,15 @@
 
 const ZoneSeats threeZones{ { ZoneId{ "a" }, 1 }, { ZoneId{ "b" }, 1 }, { ZoneId{ "c" }, 1 } };
 
-Holders threeHosts(ShareSettings settings = {})
+TestFleet threeHosts(ShareSettings settings = {})
 {
-    Holders holders;
-    settings.layout.smallestPart = 100;
-    holders.settings = settings;
+    TestFleet fleet;
+    settings.layout.minShareTokens = 100;
+    fleet.settings = settings;
     for (const char *zone : { "a", "b", "c" })
-        holders.ticket(holders.begin(seatOf(zone)), 1, threeZones);
-    holders.pass(10);
-    return holders;
+        fleet.ticket(fleet.begin(seatOf(zone)), 1, threeZones);
+    fleet.pass(10);
+    return fleet;
 }
 
 double levelOf(const ShareHolder &host, Instant now)
@@ -122,187 +122,189 @@
     return bucket.level;
 }
 
-double partsTogether(const Holders &holders)
+double sumOfShares(const TestFleet &fleet)
 {
     double sum = 0;
-    for (const ShareHolder &host : holders.hosts)
+    for (const ShareHolder &host : fleet.hosts)
         sum += host.customers.at(customer).part.bucket.burst;
     return sum;
 }
 
 } // namespace
 
-TEST(ShareLayout, FractionsSumToOneAndStayAboveARequest)
+TEST(ShareLayout, FractionsSumToOneAndStayAboveMinimum)
 {
     ZoneSeats zones;
     for (std::uint32_t zone = 0; zone < 9; ++zone)
         zones[ZoneId{ "z" + std::to_string(zone) }] = 43 + zone % 2;
     for (const double whole : { 1000.0, 16000.0, 96000.0, 4e6 }) {
-        const std::vector<SeatPart> owners = ownersOf(zones, customer, whole, {}, &weightOf);
+        const std::vector<SeatShare> owners = ownersOf(zones, customer, whole, {}, &weightOf);
         double sum = 0;
-        for (const SeatPart &part : owners)
-            sum += part.fraction;
+        for (const SeatShare &share : owners)
+            sum += share.fraction;
         EXPECT_NEAR(sum, 1.0, 1e-12);
         EXPECT_LE(owners.size(), 9U);
         const double smallest = owners.front().fraction * whole;
-        EXPECT_TRUE(owners.size() == 9 || smallest >= LayoutSettings{}.smallestPart);
+        EXPECT_TRUE(owners.size() == 9 || smallest >= LayoutSettings{}.minShareTokens);
     }
 }
 
-// The balancer sends all of a customer's traffic to one host. With a fixed part alone that host
-// would refuse two thirds of a burst that the customer is entitled to.
-TEST(ShareHolder, AHotHostBorrowsFromTheOthers)
+// Guards against wrongful refusal when the balancer sends all of a customer's traffic to one host:
+// with its own share alone that host would refuse two thirds of the burst.
+TEST(ShareHolder, HotHostBorrowsFromOthers)
 {
-    Holders holders = threeHosts();
-    const double most = burst / 3 * (1 + 2 * holders.settings.mostPerBorrower);
-    EXPECT_NEAR(static_cast<double>(holders.reserveAll(0)), most, 100);
-    // The others still hold what one borrower can't take, and no more than the burst is out.
-    const std::int64_t rest = holders.reserveAll(1) + holders.reserveAll(2);
-    EXPECT_LE(static_cast<double>(rest), burst - most + 100);
+    TestFleet fleet = threeHosts();
+    const double reach = burst / 3 * (1 + 2 * fleet.settings.mostPerBorrower);
+    EXPECT_NEAR(static_cast<double>(fleet.reserveAll(0)), reach, 100);
+    // The others still hold what one borrower can't take, and the sum stays within the burst.
+    const std::int64_t rest = fleet.reserveAll(1) + fleet.reserveAll(2);
+    EXPECT_LE(static_cast<double>(rest), burst - reach + 100);
 }
 
-// A host is replaced in the middle of a burst, twice. What it lent is still being made elsewhere; a
-// successor that refilled over it would hand the customer the same room again.
-TEST(ShareHolder, AReplacedLenderCountsWhatItsPredecessorsLent)
+// Guards against lending the same tokens twice when a lender is replaced during a burst. What it
+// lent is still being generated elsewhere; a successor must not refill over it.
+TEST(ShareHolder, ReplacedLenderReservesFormerLoans)
 {
     for (const bool forgets : { false, true }) {
         ShareSettings settings;
         settings.faults.forgetsFormerLoans = forgets;
-        Holders holders = threeHosts(settings);
-        std::int64_t lent = holders.reserveAll(1) - static_cast<std::int64_t>(burst / 3);
+        TestFleet fleet = threeHosts(settings);
+        std::int64_t lent = fleet.reserveAll(1) - static_cast<std::int64_t>(burst / 3);
         EXPECT_GT(lent, 0);
-        for (int life = 0; life < 2; ++life) {
-            const std::size_t former = life == 0 ? 0 : holders.hosts.size() - 1;
-            holders.silent.insert(holders.hosts[former].self.host);
-            holders.ticket(holders.begin(seatOf("a")), 1, threeZones);
-            holders.pass(20);
+        for (int replacement = 0; replacement < 2; ++replacement) {
+            const std::size_t former = replacement == 0 ? 0 : fleet.hosts.size() - 1;
+            fleet.silent.insert(fleet.hosts[former].self.host);
+            fleet.ticket(fleet.begin(seatOf("a")), 1, threeZones);
+            fleet.pass(20);
         }
-        // Half of what was lent is of seat a.
-        const double together = levelOf(holders.hosts.back(), holders.now)
+        // Half of what was lent belongs to the host ordinal in zone a.
+        const double together = levelOf(fleet.hosts.back(), fleet.now)
                 + static_cast<double>(lent) / 2;
         EXPECT_EQ(together > burst / 3 + 100, forgets);
     }
 }
 
-// A process is stopped for longer than its seat may be taken over, its successor starts, and the
-// old one goes on where it was. Two hosts would earn on one seat.
-TEST(ShareHolder, AHostThatWakesLateAdmitsNothingUntilItsSeatIsConfirmed)
+// Guards against two hosts that earn on one ordinal: a process is paused for so long that a
+// successor takes its ordinal, and then resumes.
+TEST(ShareHolder, PausedHostAdmitsNothingUntilConfirmed)
 {
-    Holders holders = threeHosts();
-    holders.silent.insert(holders.hosts[0].self.host);
-    holders.ticket(holders.begin(seatOf("a")), 1, threeZones);
-    holders.pass(5);
-    holders.silent.clear();
-    EXPECT_GT(levelOf(holders.hosts[0], holders.now), 1.0);
-    noteTime(holders.hosts[0], holders.now);
-    EXPECT_FALSE(reserve(holders.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 }, holders.now));
-    holders.pass(1);
-    EXPECT_TRUE(holders.hosts[0].isSuperseded);
-    EXPECT_FALSE(reserve(holders.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 }, holders.now));
+    TestFleet fleet = threeHosts();
+    fleet.silent.insert(fleet.hosts[0].self.host);
+    fleet.ticket(fleet.begin(seatOf("a")), 1, threeZones);
+    fleet.pass(5);
+    fleet.silent.clear();
+    EXPECT_GT(levelOf(fleet.hosts[0], fleet.now), 1.0);
+    noteTime(fleet.hosts[0], fleet.now);
+    EXPECT_FALSE(reserve(fleet.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 }, fleet.now));
+    fleet.pass(1);
+    EXPECT_TRUE(fleet.hosts[0].isSuperseded);
+    EXPECT_FALSE(reserve(fleet.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 }, fleet.now));
 }
 
-// The same pause without a successor: the host serves again as soon as another one has answered.
-TEST(ShareHolder, AHostThatWakesLateGoesOnOnceAnotherConfirmsIt)
+// Guards against a paused host that never serves again: without a successor it must resume as soon
+// as another host has confirmed its ordinal.
+TEST(ShareHolder, PausedHostResumesOnceConfirmed)
 {
-    Holders holders = threeHosts();
-    holders.silent.insert(holders.hosts[0].self.host);
-    holders.pass(5);
-    holders.silent.clear();
-    noteTime(holders.hosts[0], holders.now);
-    EXPECT_FALSE(holders.hosts[0].isTrusted);
-    holders.pass(1);
-    EXPECT_TRUE(reserve(holders.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 }, holders.now));
+    TestFleet fleet = threeHosts();
+    fleet.silent.insert(fleet.hosts[0].self.host);
+    fleet.pass(5);
+    fleet.silent.clear();
+    noteTime(fleet.hosts[0], fleet.now);
+    EXPECT_FALSE(fleet.hosts[0].isTrusted);
+    fleet.pass(1);
+    EXPECT_TRUE(reserve(fleet.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 }, fleet.now));
 }
 
-// A ticket gives zone c two seats more. Hosts learn of it one after the other, and one is cut off:
-// parts may shrink at once but grow only when every seat has shrunk.
-TEST(ShareHolder, PartsGrowOnlyWhenEverySeatHasTheTicket)
+// Guards against shares that add up to more than the whole while a ticket is being distributed. A
+// ticket adds two ordinals to zone c and hosts receive it one after the other: shares may shrink at
+// once but grow only when every host has applied it.
+TEST(ShareHolder, SharesGrowOnlyWhenEveryHostHasTheTicket)
 {
     for (const bool atOnce : { false, true }) {
         ShareSettings settings;
-        settings.faults.movesPartsAtOnce = atOnce;
-        Holders holders = threeHosts(settings);
+        settings.faults.growsSharesAtOnce = atOnce;
+        TestFleet fleet = threeHosts(settings);
         ZoneSeats more = threeZones;
         more[ZoneId{ "c" }] = 3;
         for (const std::uint32_t number : { 1U, 2U }) {
-            const std::size_t fresh = holders.begin(seatOf("c", number));
-            holders.ticket(fresh, 1, threeZones);
-            holders.ticket(fresh, 2, more);
+            const std::size_t fresh = fleet.begin(seatOf("c", number));
+            fleet.ticket(fresh, 1, threeZones);
+            fleet.ticket(fresh, 2, more);
         }
-        holders.ticket(1, 2, more);
-        holders.pass(3);
-        EXPECT_EQ(partsTogether(holders) > burst + 1, atOnce);
-        holders.ticket(0, 2, more);
-        holders.ticket(2, 2, more);
-        holders.pass(3);
-        EXPECT_NEAR(partsTogether(holders), burst, 1);
+        fleet.ticket(1, 2, more);
+        fleet.pass(3);
+        EXPECT_EQ(sumOfShares(fleet) > burst + 1, atOnce);
+        fleet.ticket(0, 2, more);
+        fleet.ticket(2, 2, more);
+        fleet.pass(3);
+        EXPECT_NEAR(sumOfShares(fleet), burst, 1);
     }
 }
 
-// Two hosts see different host lists for half a minute. Their parts come from the tickets, so that
-// they don't change.
-TEST(ShareHolder, PartsDoNotDependOnTheHostsSeen)
+// Guards against shares that change with the visible host list: one host is unreachable for 30 s,
+// and shares depend on tickets only.
+TEST(ShareHolder, SharesDoNotDependOnReachableHosts)
 {
-    Holders holders = threeHosts();
-    holders.silent.insert(holders.hosts[2].self.host);
-    holders.pass(30);
-    EXPECT_NEAR(partsTogether(holders), burst, 1e-6);
+    TestFleet fleet = threeHosts();
+    fleet.silent.insert(fleet.hosts[2].self.host);
+    fleet.pass(30);
+    EXPECT_NEAR(sumOfShares(fleet), burst, 1e-6);
 }
 
-// A grant that comes after its ask was given up is dropped, and its lender gets the tokens back
-// with the next report.
-TEST(ShareHolder, TokensOfALateGrantGoBack)
+// Guards against losing the tokens of a late grant: a grant that arrives after its request timed
+// out is dropped, and the lender recovers the tokens with the next report.
+TEST(ShareHolder, LateGrantIsReturnedToLender)
 {
-    Holders holders = threeHosts();
+    TestFleet fleet = threeHosts();
     std::vector<ShareOutgoing> asks;
-    seekTokens(holders.hosts[0], customer, Tokens{ 2500 }, holders.now, asks);
+    seekTokens(fleet.hosts[0], customer, Tokens{ 2500 }, fleet.now, asks);
     ASSERT_FALSE(asks.empty());
     const std::size_t lender = std::stoul(asks[0].to.value);
     std::vector<ShareOutgoing> grants;
-    onShareMessage(holders.hosts[lender], holders.hosts[0].self, asks[0].body, holders.now, grants);
-    const TokenBucket &bucket = holders.hosts[lender].customers.at(customer).part.bucket;
+    onShareMessage(fleet.hosts[lender], fleet.hosts[0].self, asks[0].body, fleet.now, grants);
+    const TokenBucket &bucket = fleet.hosts[lender].customers.at(customer).part.bucket;
     EXPECT_GT(bucket.reserved, 0);
     std::vector<ShareOutgoing> none;
-    seekTokens(holders.hosts[0], customer, Tokens{}, holders.now, none);
-    holders.pass(1);
-    EXPECT_EQ(onShareMessage(holders.hosts[0], holders.hosts[lender].self, grants[0].body,
-                             holders.now, none),
+    seekTokens(fleet.hosts[0], customer, Tokens{}, fleet.now, none);
+    fleet.pass(1);
+    EXPECT_EQ(onShareMessage(fleet.hosts[0], fleet.hosts[lender].self, grants[0].body, fleet.now,
+                             none),
               std::nullopt);
     EXPECT_EQ(bucket.reserved, 0);
-    EXPECT_EQ(holders.hosts[0].counters.lateGrants, 1U);
+    EXPECT_EQ(fleet.hosts[0].counters.lateGrants, 1U);
 }
 
-// Lent tokens that were not reserved in time must not be used: the lender may count them as gone.
+// Guards against the use of lent tokens after their lease, when the lender may have written them
+// off.
 TEST(ShareHolder, LentTokensCannotBeReservedAfterTheLease)
 {
-    Holders holders = threeHosts();
+    TestFleet fleet = threeHosts();
     std::vector<ShareOutgoing> out;
-    seekTokens(holders.hosts[0], customer, Tokens{ 2900 }, holders.now, out);
-    holders.send(0, out);
-    holders.silent.insert(holders.hosts[0].self.host);
-    holders.now = holders.now + holders.settings.lease;
-    holders.hosts[0].lastEvent = holders.now; // this one was not paused
-    EXPECT_FALSE(
-            reserve(holders.hosts[0], RequestId{ "r" }, customer, Tokens{ 2900 }, holders.now));
+    seekTokens(fleet.hosts[0], customer, Tokens{ 2900 }, fleet.now, out);
+    fleet.send(0, out);
+    fleet.silent.insert(fleet.hosts[0].self.host);
+    fleet.now = fleet.now + fleet.settings.lease;
+    fleet.hosts[0].lastEventAt = fleet.now; // this one was not paused
+    EXPECT_FALSE(reserve(fleet.hosts[0], RequestId{ "r" }, customer, Tokens{ 2900 }, fleet.now));
 }
 
-// A host that was paused reaches no other one. Unless the operator chose otherwise it serves
-// nothing, since a successor may earn on its seat.
-TEST(ShareHolder, AnIsolatedHostThatWasPausedServesOnlyByTheOperatorsChoice)
+// Guards against two hosts on one ordinal when a paused host can't reach any other. It admits
+// nothing, since a successor may exist, unless the operator has enabled resumesUnconfirmed.
+TEST(ShareHolder, IsolatedPausedHostResumesOnlyIfConfigured)
 {
     for (const bool resumes : { false, true }) {
         ShareSettings settings;
         settings.resumesUnconfirmed = resumes;
-        Holders holders = threeHosts(settings);
-        holders.now = holders.now + fromSeconds(60);
-        noteTime(holders.hosts[0], holders.now);
+        TestFleet fleet = threeHosts(settings);
+        fleet.now = fleet.now + fromSeconds(60);
+        noteTime(fleet.hosts[0], fleet.now);
         for (int tick = 0; tick < 200; ++tick) {
             std::vector<ShareOutgoing> lost;
-            holders.now = holders.now + fromSeconds(0.1);
-            tendShares(holders.hosts[0], holders.now, lost);
+            fleet.now = fleet.now + fromSeconds(0.1);
+            tendShares(fleet.hosts[0], fleet.now, lost);
         }
-        const bool isAdmitted = reserve(holders.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 },
-                                        holders.now);
+        const bool isAdmitted = reserve(fleet.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 },
+                                        fleet.now);
         EXPECT_EQ(isAdmitted, resumes);
     }
 }
--- a/packages/limits/tests/token_bucket_test.cpp
+++ b/packages/limits/tests/token_bucket_test.cpp
@@ -21,18 +21,18 @@
 
 } // namespace
 
-// A host is replaced in the middle of a burst. If its successor started with a full bucket, the
-// customer would get the burst once more with every replacement.
-TEST(TokenBucket, ANewBucketIsEmpty)
+// Guards against an extra burst with every host replacement: a successor must not start with a full
+// bucket.
+TEST(TokenBucket, NewBucketIsEmpty)
 {
     TokenBucket bucket = bucketOf(10, 100);
     EXPECT_FALSE(tryReserve(bucket, Tokens{ 1 }, second(0)));
     EXPECT_TRUE(tryReserve(bucket, Tokens{ 10 }, second(1)));
 }
 
-// A slow engine makes the tokens of a reservation long after it was granted. Were the bucket full
-// again by then, the customer would receive the reservation and a whole burst at once.
-TEST(TokenBucket, ReservedTokensKeepTheirRoomUntilTheyAreMade)
+// Guards against a doubled burst: a slow engine generates the tokens of a reservation long after
+// it was granted, and the bucket must not have refilled over them by then.
+TEST(TokenBucket, ReservedTokensBlockRefillUntilSettled)
 {
     TokenBucket bucket = bucketOf(10, 100);
     EXPECT_TRUE(tryReserve(bucket, Tokens{ 100 }, second(10)));
@@ -42,7 +42,7 @@
     EXPECT_TRUE(tryReserve(bucket, Tokens{ 10 }, second(101)));
 }
 
-TEST(TokenBucket, TokensGivenBackCanBeReservedAtOnce)
+TEST(TokenBucket, ReleasedTokensCanBeReservedAgain)
 {
     TokenBucket bucket = bucketOf(10, 100);
     EXPECT_TRUE(tryReserve(bucket, Tokens{ 100 }, second(10)));
@@ -50,7 +50,7 @@
     EXPECT_TRUE(tryReserve(bucket, Tokens{ 60 }, second(10)));
 }
 
-TEST(TokenBucket, EarliestTimeIsTold)
+TEST(TokenBucket, EarliestTimeMatchesRefill)
 {
     TokenBucket bucket = bucketOf(10, 100);
     const Instant at = earliestFor(bucket, Tokens{ 50 }, second(0));
