--- a/packages/scheduling/src/fair_queue.cpp
+++ b/packages/scheduling/src/fair_queue.cpp
@@ -28,27 +28,27 @@
     return customer.adapters.back();
 }
 
-/// Counts \a request as gone from the queue.
-void countOut(FairQueue &queue, CustomerQueue &customer, const WaitingRequest &request)
+/// Updates the totals for the removal of \a request.
+void subtractRemoved(FairQueue &queue, CustomerQueue &customer, const WaitingRequest &request)
 {
     --queue.size;
-    customer.waitCost -= static_cast<double>(request.cost.count);
+    customer.queuedTokens -= static_cast<double>(request.cost.count);
     const auto found = queue.waitingFor.find(request.adapter);
     if (found != queue.waitingFor.end() && --found->second == 0)
         queue.waitingFor.erase(found);
 }
 
-void dropIfEmpty(CustomerQueue &customer, std::size_t place)
+void dropIfEmpty(CustomerQueue &customer, std::size_t adapterIndex)
 {
-    if (!customer.adapters[place].waiting.empty())
+    if (!customer.adapters[adapterIndex].waiting.empty())
         return;
-    if (place + 1 != customer.adapters.size())
-        customer.adapters[place] = std::move(customer.adapters.back());
+    if (adapterIndex + 1 != customer.adapters.size())
+        customer.adapters[adapterIndex] = std::move(customer.adapters.back());
     customer.adapters.pop_back();
 }
 
-/// Where a customer that was idle starts: level with the least served one that waits.
-double startingPoint(const FairQueue &queue)
+/// The initial counter of a customer that was idle: the lowest counter of those that wait.
+double initialServed(const FairQueue &queue)
 {
     const CustomerQueue *least = nullptr;
     for (const CustomerQueue &customer : queue.customers) {
@@ -65,24 +65,24 @@
 {
     CustomerQueue &customer = customerQueue(queue, request.customer);
     if (customer.adapters.empty()) {
-        customer.served = std::max(customer.served, startingPoint(queue));
-        customer.waitCost = 0;
+        customer.served = std::max(customer.served, initialServed(queue));
+        customer.queuedTokens = 0;
     }
     customer.weight = request.weight;
-    customer.waitCost += static_cast<double>(request.cost.count);
+    customer.queuedTokens += static_cast<double>(request.cost.count);
     request.order = queue.nextOrder++;
     ++queue.waitingFor[request.adapter];
     ++queue.size;
     adapterQueue(customer, request.adapter).waiting.push_back(std::move(request));
 }
 
-WaitingRequest takeFrom(FairQueue &queue, CustomerQueue &customer, std::size_t place)
+WaitingRequest dequeueFrom(FairQueue &queue, CustomerQueue &customer, std::size_t adapterIndex)
 {
-    std::deque<WaitingRequest> &waiting = customer.adapters[place].waiting;
+    std::deque<WaitingRequest> &waiting = customer.adapters[adapterIndex].waiting;
     WaitingRequest taken = std::move(waiting.front());
     waiting.pop_front();
-    countOut(queue, customer, taken);
-    dropIfEmpty(customer, place);
+    subtractRemoved(queue, customer, taken);
+    dropIfEmpty(customer, adapterIndex);
     queue.virtualTime = std::max(queue.virtualTime, customer.served);
     customer.served += static_cast<double>(taken.cost.count) / taken.weight;
     return taken;
@@ -91,16 +91,17 @@
 bool remove(FairQueue &queue, const RequestId &request)
 {
     for (CustomerQueue &customer : queue.customers) {
-        for (std::size_t place = 0; place < customer.adapters.size(); ++place) {
-            std::deque<WaitingRequest> &waiting = customer.adapters[place].waiting;
+        for (std::size_t adapterIndex = 0; adapterIndex < customer.adapters.size();
+             ++adapterIndex) {
+            std::deque<WaitingRequest> &waiting = customer.adapters[adapterIndex].waiting;
             const auto found = std::find_if(
                     waiting.begin(), waiting.end(),
                     [&request](const WaitingRequest &entry) { return entry.request == request; });
             if (found == waiting.end())
                 continue;
-            countOut(queue, customer, *found);
+            subtractRemoved(queue, customer, *found);
             waiting.erase(found);
-            dropIfEmpty(customer, place);
+            dropIfEmpty(customer, adapterIndex);
             return true;
         }
     }
@@ -109,7 +110,7 @@
 
 void forgetIdle(FairQueue &queue)
 {
-    const double start = startingPoint(queue);
+    const double start = initialServed(queue);
     for (std::size_t index = queue.customers.size(); index-- > 0;) {
         const CustomerQueue &customer = queue.customers[index];
         if (!customer.adapters.empty() || customer.served > start)
@@ -127,16 +128,16 @@
 {
     std::vector<WaitingRequest> expired;
     for (CustomerQueue &customer : queue.customers) {
-        for (std::size_t place = customer.adapters.size(); place-- > 0;) {
-            std::deque<WaitingRequest> &waiting = customer.adapters[place].waiting;
+        for (std::size_t adapterIndex = customer.adapters.size(); adapterIndex-- > 0;) {
+            std::deque<WaitingRequest> &waiting = customer.adapters[adapterIndex].waiting;
             for (std::size_t index = waiting.size(); index-- > 0;) {
                 if (waiting[index].latestStart > now)
                     continue;
-                countOut(queue, customer, waiting[index]);
+                subtractRemoved(queue, customer, waiting[index]);
                 expired.push_back(std::move(waiting[index]));
                 waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(index));
             }
-            dropIfEmpty(customer, place);
+            dropIfEmpty(customer, adapterIndex);
         }
     }
     return expired;
@@ -164,15 +165,15 @@
     const auto found = queue.indexOf.find(customer);
     if (found != queue.indexOf.end()) {
         const CustomerQueue &known = queue.customers[found->second];
-        own = known.adapters.empty() ? 0 : known.waitCost;
+        own = known.adapters.empty() ? 0 : known.queuedTokens;
         served = known.adapters.empty() ? std::max(served, known.served) : known.served;
     }
-    const double begins = served + own / weight;
+    const double startCounter = served + own / weight;
     double ahead = own;
     for (const CustomerQueue &other : queue.customers) {
-        if (other.id == customer || other.adapters.empty() || other.served >= begins)
+        if (other.id == customer || other.adapters.empty() || other.served >= startCounter)
             continue;
-        ahead += std::min(other.waitCost, (begins - other.served) * other.weight);
+        ahead += std::min(other.queuedTokens, (startCounter - other.served) * other.weight);
     }
     return ahead;
 }
--- a/packages/scheduling/src/shedding.cpp
+++ b/packages/scheduling/src/shedding.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-/// Weight of a new observation. Twenty requests are a little more than one full batch of sixteen
-/// slots, so a changed speed is known after about one service time.
-constexpr double newWeight = 0.05;
+/// Weight of a new sample. Twenty requests are a little more than one full batch of sixteen slots,
+/// so that the estimate follows a change of speed within about one service time.
+constexpr double sampleWeight = 0.05;
 
-void learn(double &mean, double value)
+void updateMean(double &mean, double value)
 {
-    mean = mean == 0 ? value : mean + (value - mean) * newWeight;
+    mean = mean == 0 ? value : mean + (value - mean) * sampleWeight;
 }
 
 } // namespace
@@ -19,8 +19,8 @@
 {
     if (charged.count <= 0 || held <= Span{})
         return;
-    learn(rate.secondsPerToken, toSeconds(held) / static_cast<double>(charged.count));
-    learn(rate.holdSeconds, toSeconds(held));
+    updateMean(rate.secondsPerToken, toSeconds(held) / static_cast<double>(charged.count));
+    updateMean(rate.holdSeconds, toSeconds(held));
 }
 
 Span expectedHold(const ServiceRate &rate, Tokens cost)
@@ -33,9 +33,9 @@
 {
     if (freeSlots > 0)
         return Span{};
-    const double turn = rate.holdSeconds; // the first slot to come free
+    const double firstRelease = rate.holdSeconds;
     const double ahead = tokensAhead(queue, customer, weight) * rate.secondsPerToken;
-    return fromSeconds((turn + ahead) / static_cast<double>(batchSlots));
+    return fromSeconds((firstRelease + ahead) / static_cast<double>(batchSlots));
 }
 
 Instant latestStart(const ServiceRate &rate, Tokens cost, Instant deadline)
--- a/packages/scheduling/tests/fair_queue_test.cpp
+++ b/packages/scheduling/tests/fair_queue_test.cpp
@@ -26,9 +26,9 @@
 
 } // namespace
 
-// One customer sends a hundred requests before another sends its first. The second one's caller
-// must not wait for the hundred.
-TEST(FairQueue, AHotCustomerDoesNotDelayAnother)
+// Guards against starvation: a customer's first request must not wait behind a hundred earlier
+// requests of another customer.
+TEST(FairQueue, HotCustomerDoesNotDelayAnother)
 {
     FairQueue queue;
     for (int number = 0; number < 100; ++number)
@@ -38,8 +38,8 @@
     EXPECT_EQ(takeNext(queue, anyMayRun)->customer, CustomerId{ "quiet" });
 }
 
-// Long jobs among short ones: the customer of long jobs gets as many tokens as the others, not as
-// many requests.
+// Guards against an advantage for long requests: customers get equal numbers of tokens, not of
+// requests.
 TEST(FairQueue, ServiceIsCountedInTokens)
 {
     FairQueue queue;
@@ -55,7 +55,7 @@
     EXPECT_NEAR(static_cast<double>(tokens["long"]), static_cast<double>(tokens["short"]), 1000.0);
 }
 
-TEST(FairQueue, AnIdleCustomerGetsNoCreditForThePast)
+TEST(FairQueue, IdleCustomerGetsNoCredit)
 {
     FairQueue queue;
     for (int number = 0; number < 50; ++number)
@@ -70,7 +70,7 @@
     EXPECT_NEAR(returning, 10, 1);
 }
 
-TEST(FairQueue, ExpiredRequestsAreTakenOut)
+TEST(FairQueue, ExpiredRequestsAreRemoved)
 {
     FairQueue queue;
     enqueue(queue, requestOf("a", 0));
