--- a/packages/placement/include/azurewell/placement/engine_adapters.h
+++ b/packages/placement/include/azurewell/placement/engine_adapters.h
@@ -13,25 +13,25 @@
 struct AdapterOnEngine
 {
     AdapterState state = AdapterState::Absent;
-    std::uint32_t pins = 0;     ///< Requests that run on it or hold a slot for it.
-    std::uint32_t failures = 0; ///< Loads that failed in a row.
+    std::uint32_t pins = 0;     ///< Requests that run on it or have a slot granted for it.
+    std::uint32_t failures = 0; ///< Consecutive failed loads.
     Instant lastUsed;
-    Instant orderedAt;     ///< When its last load was ordered.
-    Instant retryAfter;    ///< No load is ordered before this.
-    double popularity = 0; ///< Requests begun, each counted half for every half-life since.
-    Instant countedAt;     ///< When `popularity` was last brought up to date.
+    Instant orderedAt;           ///< When the last load was ordered.
+    Instant retryAfter;          ///< No load is ordered before this.
+    double popularity = 0;       ///< Started requests, with exponential decay by half-life.
+    Instant popularityUpdatedAt; ///< When `popularity` was last updated.
 };
 
-/// The adapters of one engine as its keeper knows them.
+/// The adapters of one engine, as its coordinator knows them.
 struct EngineAdapters
 {
-    std::uint32_t slots = 1; ///< Adapters the engine holds at once.
+    std::uint32_t slots = 1; ///< Maximum number of adapters the engine holds.
     std::unordered_map<AdapterRef, AdapterOnEngine> adapters;
-    Instant noEvictionBefore; ///< Until then a former keeper's slot leases can still be running.
-    Span popularityHalfLife = std::chrono::seconds(60); ///< Popularity halves in this time.
+    Instant noEvictionBefore; ///< Slot leases of a former coordinator may be valid until this.
+    Span popularityHalfLife = std::chrono::seconds(60); ///< Half-life of `popularity`.
 };
 
-/// What the keeper has to order so that \a wanted gets onto the engine.
+/// The next order of a coordinator to its engine.
 struct PlacementStep
 {
     enum class Kind : std::uint8_t { Nothing, Load, Evict };
@@ -39,52 +39,53 @@
     AdapterRef adapter;
 };
 
-/// Whether \a ref can serve now.
+/// Whether \a ref is loaded.
 bool isLoaded(const EngineAdapters &engine, const AdapterRef &ref);
 
-/// Adapters that occupy a slot: loading, loaded or unloading.
+/// The number of adapters that occupy a slot: loading, loaded or unloading.
 std::uint32_t usedSlots(const EngineAdapters &engine);
 
-/// Adapters that are being loaded.
+/// The number of adapters that are being loaded.
 std::uint32_t loadsUnderWay(const EngineAdapters &engine);
 
-/// Slots that a load could use now: empty ones, and those of loaded adapters that nothing pins.
+/// The number of slots that a load could use: empty ones, and those of loaded adapters without
+/// pins.
 std::uint32_t openSlots(const EngineAdapters &engine);
 
-/// The next step towards having \a wanted loaded: a load where a slot is free; otherwise the
-/// eviction of the least popular adapter that nothing pins and \a isKept does not name; nothing
-/// while everything is pinned, while a load backs off, or while a former keeper's leases may still
-/// run.
+/// The next order needed to load \a wanted: a load if a slot is free; otherwise the eviction of the
+/// least popular adapter that has no pins and that \a isProtected does not protect. Nothing while
+/// all adapters are pinned, the load is backing off, or a former coordinator's leases may be valid.
 ///
-/// Load pattern: thousands of adapters of which a few are popular. By least recent use alone, a run
-/// of requests for rare adapters pushes out a popular one, which is loaded again a moment later.
+/// Load pattern: thousands of adapters of which a few are popular. With plain LRU eviction a series
+/// of requests for rare adapters evicts a popular one, which must be loaded again at once.
 PlacementStep nextStep(const EngineAdapters &engine, const AdapterRef &wanted, Instant now,
-                       const std::function<bool(const AdapterRef &)> &isKept = {});
+                       const std::function<bool(const AdapterRef &)> &isProtected = {});
 
-/// Whether a load of \a ref makes sense: it is neither there nor on its way, nor backing off.
+/// Whether a load of \a ref may be ordered: it is absent, and not backing off.
 bool isOrderable(const EngineAdapters &engine, const AdapterRef &ref, Instant now);
 
-/// nextStep() without its adapter: a load where a slot is free, else an eviction, else nothing.
+/// Like nextStep(), but for any adapter: a load (without adapter), an eviction, or nothing.
 PlacementStep makeRoom(const EngineAdapters &engine, Instant now,
-                       const std::function<bool(const AdapterRef &)> &isKept = {});
+                       const std::function<bool(const AdapterRef &)> &isProtected = {});
 
 /// The popularity of \a adapter at \a now.
 double popularityAt(const AdapterOnEngine &adapter, Span halfLife, Instant now);
 
-/// Moves \a ref by the chart.
+/// Applies \a event to the state of \a ref.
 void applyEvent(EngineAdapters &engine, const Chart &chart, const AdapterRef &ref,
                 AdapterEvent event, Instant now);
 
-/// Counts a failed load of \a ref and stores when the next may be tried: exponential with a cap,
-/// and \a jitter in [0, 1) spreads the engines that failed together.
+/// Counts a failed load of \a ref and sets the time of the next attempt by capped exponential
+/// back-off; \a jitter in [0, 1) spreads the retries of engines that failed together.
 void backOff(EngineAdapters &engine, const AdapterRef &ref, double jitter, Instant now);
 
-/// Returns adapters whose back-off is over to absent.
+/// Sets adapters whose back-off is over to absent.
 void endBackOffs(EngineAdapters &engine, const Chart &chart, Instant now);
 
-/// Counts \a count requests that began to use \a ref.
+/// Adds \a count started requests to the popularity of \a ref.
 void noteUses(EngineAdapters &engine, const AdapterRef &ref, double count, Instant now);
 
+/// Counts a request that uses \a ref, which can't be evicted until unpin().
 void pin(EngineAdapters &engine, const AdapterRef &ref, Instant now);
 void unpin(EngineAdapters &engine, const AdapterRef &ref);
 
--- a/packages/placement/src/engine_adapters.cpp
+++ b/packages/placement/src/engine_adapters.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr Span firstBackOff = fromSeconds(0.5);
-constexpr Span longestBackOff = fromSeconds(30);
-constexpr std::uint32_t mostDoublings = 6;
+constexpr Span initialBackOff = fromSeconds(0.5);
+constexpr Span maxBackOff = fromSeconds(30);
+constexpr std::uint32_t maxDoublings = 6;
 
 bool takesSlot(const AdapterOnEngine &adapter)
 {
@@ -55,25 +55,25 @@
 
 bool isOrderable(const EngineAdapters &engine, const AdapterRef &ref, Instant now)
 {
-    const auto known = engine.adapters.find(ref);
-    if (known == engine.adapters.end())
+    const auto found = engine.adapters.find(ref);
+    if (found == engine.adapters.end())
         return true;
-    return known->second.state == AdapterState::Absent && known->second.retryAfter <= now;
+    return found->second.state == AdapterState::Absent && found->second.retryAfter <= now;
 }
 
 PlacementStep nextStep(const EngineAdapters &engine, const AdapterRef &wanted, Instant now,
-                       const std::function<bool(const AdapterRef &)> &isKept)
+                       const std::function<bool(const AdapterRef &)> &isProtected)
 {
     if (!isOrderable(engine, wanted, now))
         return {};
-    PlacementStep step = makeRoom(engine, now, isKept);
+    PlacementStep step = makeRoom(engine, now, isProtected);
     if (step.kind == PlacementStep::Kind::Load)
         step.adapter = wanted;
     return step;
 }
 
 PlacementStep makeRoom(const EngineAdapters &engine, Instant now,
-                       const std::function<bool(const AdapterRef &)> &isKept)
+                       const std::function<bool(const AdapterRef &)> &isProtected)
 {
     if (usedSlots(engine) < engine.slots)
         return PlacementStep{ PlacementStep::Kind::Load, {} };
@@ -84,8 +84,8 @@
     double least = 0;
     for (const auto &entry : engine.adapters) {
         if (entry.second.state == AdapterState::Unloading)
-            return {}; // a slot is on its way already
-        if (!isEvictable(entry.second) || (isKept && isKept(entry.first)))
+            return {}; // a slot is being freed
+        if (!isEvictable(entry.second) || (isProtected && isProtected(entry.first)))
             continue;
         const double popularity = popularityAt(entry.second, engine.popularityHalfLife, now);
         const bool isLess = !victim || popularity < least
@@ -102,7 +102,7 @@
 
 double popularityAt(const AdapterOnEngine &adapter, Span halfLife, Instant now)
 {
-    const double halves = toSeconds(now - adapter.countedAt) / toSeconds(halfLife);
+    const double halves = toSeconds(now - adapter.popularityUpdatedAt) / toSeconds(halfLife);
     return adapter.popularity * std::exp2(-halves);
 }
 
@@ -124,9 +124,9 @@
 void backOff(EngineAdapters &engine, const AdapterRef &ref, double jitter, Instant now)
 {
     AdapterOnEngine &adapter = engine.adapters[ref];
-    const std::uint32_t doublings = std::min(adapter.failures, mostDoublings);
+    const std::uint32_t doublings = std::min(adapter.failures, maxDoublings);
     ++adapter.failures;
-    const Span pause = std::min<Span>(firstBackOff * (1LL << doublings), longestBackOff);
+    const Span pause = std::min<Span>(initialBackOff * (1LL << doublings), maxBackOff);
     adapter.retryAfter = now + pause / 2 + fromSeconds(toSeconds(pause) * jitter / 2);
 }
 
@@ -142,7 +142,7 @@
 {
     AdapterOnEngine &adapter = engine.adapters[ref];
     adapter.popularity = popularityAt(adapter, engine.popularityHalfLife, now) + count;
-    adapter.countedAt = now;
+    adapter.popularityUpdatedAt = now;
     adapter.lastUsed = now;
 }
 
--- a/packages/placement/src/load_pacer.cpp
+++ b/packages/placement/src/load_pacer.cpp
@@ -6,34 +6,35 @@
 
 namespace {
 
-/// Loads in flight over all engines up to which the weight store works at full speed.
-constexpr double fullSpeedInFlight = 8;
-/// What a load takes with eight in flight at four a second; only spreads the first ones.
-constexpr Span crowdedLoad = fromSeconds(2);
+/// The weight store serves at full speed up to this many loads in flight over all engines.
+constexpr double fullSpeedConcurrency = 8;
+/// Duration of a load with eight in flight at four a second; only spreads the first loads.
+constexpr Span fullSpeedLoadTime = fromSeconds(2);
 
-/// How long a keeper pauses after a load that took \a took.
-Span pauseAfter(Span took, std::size_t keepers)
+/// The delay after a load that took \a took.
+Span delayAfter(Span took, std::size_t coordinators)
 {
-    const double loadsPerPart = static_cast<double>(keepers) / fullSpeedInFlight;
-    return fromSeconds(toSeconds(took) * std::max(0.0, loadsPerPart - 1));
+    const double coordinatorsPerLoad = static_cast<double>(coordinators) / fullSpeedConcurrency;
+    return fromSeconds(toSeconds(took) * std::max(0.0, coordinatorsPerLoad - 1));
 }
 
 } // namespace
 
-void beginPacing(LoadPacer &pacer, std::size_t keepers, double jitter, Instant now)
+void beginPacing(LoadPacer &pacer, std::size_t coordinators, double jitter, Instant now)
 {
     pacer.hasBegun = true;
-    pacer.notBefore = now + fromSeconds(toSeconds(pauseAfter(crowdedLoad, keepers)) * jitter);
+    pacer.nextLoadAt = now
+            + fromSeconds(toSeconds(delayAfter(fullSpeedLoadTime, coordinators)) * jitter);
 }
 
 bool mayLoad(const LoadPacer &pacer, std::uint32_t inFlight, Instant now)
 {
-    return inFlight == 0 && now >= pacer.notBefore;
+    return inFlight == 0 && now >= pacer.nextLoadAt;
 }
 
-void noteLoadEnded(LoadPacer &pacer, std::size_t keepers, Span took, Instant now)
+void noteLoadEnded(LoadPacer &pacer, std::size_t coordinators, Span took, Instant now)
 {
-    pacer.notBefore = now + pauseAfter(took, keepers);
+    pacer.nextLoadAt = now + delayAfter(took, coordinators);
 }
 
 } // namespace azurewell
--- a/packages/placement/src/load_plan.cpp
+++ b/packages/placement/src/load_plan.cpp
@@ -5,16 +5,17 @@
 
 namespace {
 
-/// Whether a load for \a candidate goes before one for \a other: more requests to start with one
-/// load; of equals the younger, which has more of its time left.
-bool goesBefore(const AdapterQueue &candidate, const AdapterQueue &other)
+/// Whether a load for \a candidate has priority over one for \a other: more waiting requests first,
+/// then the more recent request, which has more time before its deadline.
+bool hasPriority(const AdapterQueue &candidate, const AdapterQueue &other)
 {
     if (candidate.waiting.size() != other.waiting.size())
         return candidate.waiting.size() > other.waiting.size();
     return candidate.waiting.front().order > other.waiting.front().order;
 }
 
-/// Whether \a customer waits for a batch slot only.
+/// Whether \a customer has a request whose adapter is loaded, so that it waits only for a batch
+/// slot.
 bool hasRunnable(const EngineAdapters &adapters, const CustomerQueue &customer)
 {
     return std::any_of(customer.adapters.begin(), customer.adapters.end(),
@@ -29,7 +30,7 @@
 {
     const AdapterQueue *chosen = nullptr;
     for (const AdapterQueue &candidate : customer.adapters) {
-        const bool isFirst = !chosen || goesBefore(candidate, *chosen);
+        const bool isFirst = !chosen || hasPriority(candidate, *chosen);
         if (isFirst && isOrderable(adapters, candidate.adapter, now))
             chosen = &candidate;
     }
@@ -40,12 +41,12 @@
 
 PlacementStep nextOrder(const EngineAdapters &adapters, const FairQueue &queue, Instant now)
 {
-    const auto isWaitedFor = [&queue](const AdapterRef &ref) {
+    const auto hasWaitingRequests = [&queue](const AdapterRef &ref) {
         return waitingFor(queue, ref) > 0;
     };
     PlacementStep step;
     if (queue.size > 0)
-        step = makeRoom(adapters, now, isWaitedFor);
+        step = makeRoom(adapters, now, hasWaitingRequests);
     if (step.kind == PlacementStep::Kind::Nothing)
         return {};
 
--- a/packages/placement/tests/engine_adapters_test.cpp
+++ b/packages/placement/tests/engine_adapters_test.cpp
@@ -28,9 +28,9 @@
 
 } // namespace
 
-// Two popular adapters fill an engine and a third is asked for. Unloading one that is answering
-// would break that answer, so the idle one has to go, and none where both are answering.
-TEST(EngineAdapters, AServingAdapterIsNeverEvicted)
+// Guards against unloading an adapter during a request: of two adapters that fill an engine only
+// the one without pins may be evicted, and none if both are pinned.
+TEST(EngineAdapters, PinnedAdapterIsNeverEvicted)
 {
     Fixture fixture(2);
     fixture.load(first, Instant{ 1 });
@@ -43,10 +43,9 @@
     EXPECT_EQ(nextStep(fixture.engine, third, Instant{ 5 }).kind, PlacementStep::Kind::Nothing);
 }
 
-// An engine's keeper was replaced. Requests that the former one let in may still be running, and
-// the new one cannot see them; it may load into free slots but evict nothing until their leases are
-// over.
-TEST(EngineAdapters, ANewKeeperEvictsNothingUntilOldLeasesAreOver)
+// Guards against evicting adapters in use after a change of coordinator: the new one can't see the
+// requests that the former one admitted, and must not evict until their leases have expired.
+TEST(EngineAdapters, NewCoordinatorEvictsNothingUntilFormerLeasesExpire)
 {
     Fixture fixture(1);
     fixture.engine.noEvictionBefore = Instant{ 100 };
@@ -55,9 +54,9 @@
     EXPECT_EQ(nextStep(fixture.engine, second, Instant{ 100 }).kind, PlacementStep::Kind::Evict);
 }
 
-// Loads of one adapter fail again and again. Callers of that adapter wait or are refused; the
-// weight store must not be asked in a tight loop.
-TEST(EngineAdapters, FailedLoadsBackOffWithACap)
+// Guards against retrying a load that keeps failing in a tight loop, which would overload the
+// weight store.
+TEST(EngineAdapters, FailedLoadsBackOffUpToALimit)
 {
     Fixture fixture(1);
     Instant now{ 0 };
--- a/packages/placement/tests/load_pacer_test.cpp
+++ b/packages/placement/tests/load_pacer_test.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-/// A store that begins a load every `interval` and takes a quarter second, for keepers that always
-/// want another load.
+/// A store that starts a load every `interval` and takes 250 ms for each, with coordinators that
+/// always need another load.
 struct BusyStore
 {
-    struct Keeper
+    struct Coordinator
     {
         LoadPacer pacer;
-        Instant since;
-        Instant done;
+        Instant startedAt;
+        Instant endsAt;
         bool isLoading = false;
     };
 
-    std::vector<Keeper> keepers;
+    std::vector<Coordinator> coordinators;
     Span interval;
     Instant nextStart;
     Instant now;
@@ -30,50 +30,52 @@
     std::mt19937_64 random{ 1 };
 
     BusyStore(std::size_t count, Span each)
-        : keepers(count)
+        : coordinators(count)
         , interval(each)
     {
     }
 
     std::size_t inFlight() const
     {
-        return static_cast<std::size_t>(
-                std::count_if(this->keepers.begin(), this->keepers.end(),
-                              [](const Keeper &keeper) { return keeper.isLoading; }));
+        return static_cast<std::size_t>(std::count_if(
+                this->coordinators.begin(), this->coordinators.end(),
+                [](const Coordinator &coordinator) { return coordinator.isLoading; }));
     }
-    void tend(Keeper &keeper)
+    void poll(Coordinator &coordinator)
     {
-        if (!keeper.pacer.hasBegun) {
+        if (!coordinator.pacer.hasBegun) {
             std::uniform_real_distribution<double> jitter(0.0, 1.0);
-            beginPacing(keeper.pacer, this->keepers.size(), jitter(this->random), this->now);
+            beginPacing(coordinator.pacer, this->coordinators.size(), jitter(this->random),
+                        this->now);
         }
-        if (keeper.isLoading && keeper.done <= this->now) {
-            keeper.isLoading = false;
+        if (coordinator.isLoading && coordinator.endsAt <= this->now) {
+            coordinator.isLoading = false;
             ++this->ended;
-            noteLoadEnded(keeper.pacer, this->keepers.size(), this->now - keeper.since, this->now);
+            noteLoadEnded(coordinator.pacer, this->coordinators.size(),
+                          this->now - coordinator.startedAt, this->now);
         }
-        if (keeper.isLoading || !mayLoad(keeper.pacer, 0, this->now))
+        if (coordinator.isLoading || !mayLoad(coordinator.pacer, 0, this->now))
             return;
-        keeper.isLoading = true;
-        keeper.since = this->now;
+        coordinator.isLoading = true;
+        coordinator.startedAt = this->now;
         this->nextStart = std::max(this->now, this->nextStart) + this->interval;
-        keeper.done = this->nextStart - this->interval + fromSeconds(0.25);
+        coordinator.endsAt = this->nextStart - this->interval + fromSeconds(0.25);
     }
     void run(Span span)
     {
         const Instant until = this->now + span;
         for (; this->now < until; this->now = this->now + fromSeconds(0.05)) {
-            for (Keeper &keeper : this->keepers)
-                this->tend(keeper);
+            for (Coordinator &coordinator : this->coordinators)
+                this->poll(coordinator);
         }
     }
 };
 
 } // namespace
 
-// Seven keepers want loads without end. The store's limit of eight in flight is kept, and none of
-// its four loads a second is left unused.
-TEST(LoadPacer, SevenKeepersUseTheStoreWhole)
+// Guards against unused store capacity with few coordinators: the limit of eight loads in flight is
+// kept while the store serves its four loads a second.
+TEST(LoadPacer, SevenCoordinatorsUseTheWholeStoreRate)
 {
     BusyStore store(7, fromSeconds(0.25));
     store.run(fromSeconds(60));
@@ -81,27 +83,27 @@
     EXPECT_GE(store.ended, 200U);
 }
 
-// Every one of 390 keepers wants loads at once, as after a cold start of everything. Callers wait
-// for their adapters behind whatever is in the store already, so its queue has to stay short
-// without any keeper knowing what the others do.
-TEST(LoadPacer, HundredsOfKeepersKeepTheStoresQueueShort)
+// Guards against a long queue in the store when 390 coordinators need loads at once, as after a
+// cold start of the whole fleet. Callers wait behind all loads in the store, and the coordinators
+// don't communicate.
+TEST(LoadPacer, HundredsOfCoordinatorsKeepTheStoreQueueShort)
 {
     BusyStore store(390, fromSeconds(0.25));
     constexpr int seconds = 600;
-    std::size_t most = 0;
+    std::size_t maxInFlight = 0;
     std::size_t sum = 0;
     for (int second = 0; second < seconds; ++second) {
         store.run(fromSeconds(1));
-        most = std::max(most, store.inFlight());
+        maxInFlight = std::max(maxInFlight, store.inFlight());
         sum += store.inFlight();
     }
-    EXPECT_LE(sum / seconds, 12U); // eight is the aim
-    EXPECT_LE(most, 130U);         // all 390 at once without pacing
-    EXPECT_GE(store.ended, 1200U); // of 2,400 that the store could do
+    EXPECT_LE(sum / seconds, 12U); // the target is eight
+    EXPECT_LE(maxInFlight, 130U);  // 390 without pacing
+    EXPECT_GE(store.ended, 1200U); // the store can serve 2,400
 }
 
-// The store slows to a tenth for good. Loads go on at its new speed.
-TEST(LoadPacer, ASlowerStoreIsUsedWholeToo)
+// Guards against unused store capacity after the store slows to a tenth of its speed for good.
+TEST(LoadPacer, SlowerStoreIsStillFullyUsed)
 {
     BusyStore store(7, fromSeconds(0.25));
     store.run(fromSeconds(60));
