--- a/packages/routing/include/azurewell/routing/retry_budget.h
+++ b/packages/routing/include/azurewell/routing/retry_budget.h
@@ -4,30 +4,30 @@
 
 namespace azurewell {
 
-/// A retry costs one token and a first try earns a twelfth: retries stay under a tenth of first
-/// tries.
-inline constexpr double earnedByFirstTry = 1.0 / 12.0;
+/// Retry tokens earned by a first attempt. A retry costs one, so that retries stay below a tenth of
+/// the first attempts.
+inline constexpr double earnedByFirstAttempt = 1.0 / 12.0;
 
-/// Retries that can be saved up; allows a short failure of one engine to be hidden entirely.
-inline constexpr double mostSavedRetries = 10.0;
+/// Maximum number of saved retries; enough to hide a short failure of one engine from callers.
+inline constexpr double maxSavedRetries = 10.0;
 
-/// Bounds retries to a fraction of first tries.
+/// Limits retries to a fraction of first attempts.
 ///
-/// Load pattern: every upstream answers 503. With a count of retries for each request the traffic
-/// is multiplied by that count just when the upstreams are weakest, and they do not recover.
+/// Load pattern: every upstream answers 503. A retry limit for each request alone would multiply
+/// the traffic by that limit while the upstreams are overloaded, and they would not recover.
 struct RetryBudget
 {
-    double tokens = 0;                   ///< Retries that may be made now.
-    double earned = earnedByFirstTry;    ///< By each first try.
-    double mostSaved = mostSavedRetries; ///< Retries that can be saved up.
+    double tokens = 0;                    ///< Retries available now.
+    double earned = earnedByFirstAttempt; ///< Tokens earned by each first attempt.
+    double mostSaved = maxSavedRetries;   ///< Upper limit of `tokens`.
 };
 
 void countFirstTry(RetryBudget &budget);
 
-/// Takes a retry from the budget; false where it is spent.
+/// Takes a retry from the budget. Returns false if none is available.
 bool takeRetry(RetryBudget &budget);
 
-/// A retry that was taken turned out not to be needed.
+/// Returns a retry that was taken and not used.
 void giveBackRetry(RetryBudget &budget);
 
 } // namespace azurewell
--- a/packages/routing/include/azurewell/routing/upstream_table.h
+++ b/packages/routing/include/azurewell/routing/upstream_table.h
@@ -12,25 +12,25 @@
 
 namespace azurewell {
 
-/// What an engine's keeper reports of it; late by up to a heartbeat.
+/// An engine's state as reported by its coordinator; up to one heartbeat interval old.
 struct EngineReport
 {
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     std::uint32_t openSlots = 0; ///< Adapter slots that a load could use: empty or evictable.
     std::vector<AdapterRef> loaded;
-    std::vector<AdapterRef> wanted; ///< Being loaded, or waited for.
-    bool keepsLoaded = false;       ///< `loaded` is as in the report before, and left out.
+    std::vector<AdapterRef> wanted; ///< Being loaded, or required by waiting requests.
+    bool keepsLoaded = false; ///< `loaded` is empty here and unchanged since the previous report.
 };
 
-/// An adapter that this host expects on an engine because it has just sent a request for it there.
+/// An adapter that this host expects on an engine because it has sent a request for it there.
 struct ExpectedAdapter
 {
     AdapterRef adapter;
     Instant until;
 };
 
-/// One engine or back end as this host sees it.
+/// One engine or service back end, with this host's own observations.
 struct UpstreamEntry
 {
     UpstreamId id;
@@ -39,39 +39,39 @@
     UpstreamKind kind = UpstreamKind::Engine;
     UpstreamState state = UpstreamState::Unknown;
     bool isOwnZone = false;
-    bool isLeaving = false; ///< By ticket, or no longer in the tickets.
+    bool isLeaving = false; ///< Marked as leaving by a ticket, or removed from the tickets.
     double batchSlots = 1;
     double adapterSlots = 1;
     EngineReport report;
     std::vector<ExpectedAdapter> expected;
-    std::int32_t sentSince = 0;   ///< Own requests since the report, less those that ended.
-    std::int32_t missesSince = 0; ///< Of those sent, the ones whose adapter was not there.
-    std::uint32_t inFlight = 0;   ///< Own requests, sent and not ended.
-    double pace = 0;              ///< Seconds for each token, as this host saw it; 0 is unknown.
-    std::uint32_t slowProbes = 0; ///< Looks at a slow upstream that found it slow still.
-    Instant probeAfter;           ///< A slow upstream gets one request at a time from then on.
+    std::int32_t sentSince = 0; ///< Own requests sent since the report minus those that ended.
+    std::int32_t missesSinceReport
+            = 0;                    ///< Of the requests sent, those whose adapter was not loaded.
+    std::uint32_t inFlight = 0;     ///< Own requests that were sent and have not ended.
+    double pace = 0;                ///< Mean seconds per token of own requests; 0 if unknown.
+    std::uint32_t failedProbes = 0; ///< Consecutive probes that found the upstream still slow.
+    Instant probeAfter;             ///< A slow upstream may get one request at a time after this.
 };
 
-/// Upstreams that can take each other's work: the engines of one base model, or the back ends of
-/// one service. The rings hold each upstream at several points in order of their hash; the ones
-/// that follow an adapter's hash are its homes, found in logarithmic time.
+/// Interchangeable upstreams: the engines of one base model, or the back ends of one service. The
+/// consistent-hashing rings hold each upstream at several points ordered by hash; the points that
+/// follow an adapter's hash are its home upstreams, found in logarithmic time.
 struct UpstreamGroup
 {
-    std::vector<std::uint32_t> own; ///< In this host's zone.
+    std::vector<std::uint32_t> own; ///< Upstreams in this host's zone.
     std::vector<std::uint32_t> all;
     std::vector<std::pair<std::uint64_t, std::uint32_t>> ownRing;
     std::vector<std::pair<std::uint64_t, std::uint32_t>> ring;
-    double pace = 0; ///< Of its members, on average.
-    double holdSeconds
-            = 5; ///< Mean time of a request on a slot; a guess until the first has ended.
+    double pace = 0;        ///< Mean seconds per token of the members; 0 if unknown.
+    double holdSeconds = 5; ///< Mean slot time of a request; the initial value is an estimate.
 };
 
 /// All upstreams, indexed for routing.
 ///
-/// Load pattern: thousands of engines and requests. Looking at each engine for each request costs a
-/// host of the largest fleet more than it has; looking at too few sends requests to engines that
-/// must first load the adapter. Only engines that hold the adapter, its homes and a few drawn by
-/// the request's hash are looked at.
+/// Load pattern: thousands of engines and requests. Evaluating every engine for every request would
+/// exceed a host's CPU capacity in the largest fleet; evaluating too few sends requests to engines
+/// that must first load the adapter. Only engines that hold the adapter, its home engines and a few
+/// sampled by the request's hash are evaluated.
 struct UpstreamTable
 {
     std::vector<UpstreamEntry> entries;
@@ -82,50 +82,50 @@
     std::unordered_map<AdapterRef, std::vector<std::uint32_t>> holders;
 };
 
-/// Takes over the upstreams in force. What was learned of those that stay is kept.
+/// Replaces the upstreams by those in \a inForce. Observations of those that remain are kept.
 void setUpstreams(UpstreamTable &table, const std::unordered_map<UpstreamId, Upstream> &inForce,
                   const ZoneId &ownZone);
 
 void setState(UpstreamTable &table, const UpstreamId &id, UpstreamState state);
 
-/// Takes over a keeper's report at \a now.
+/// Applies a coordinator's report.
 void noteReport(UpstreamTable &table, const UpstreamId &id, EngineReport report, Instant now);
 
-/// Counts a request of this host that was sent to \a id, or asked for a slot there.
+/// Records a request of this host that was sent to \a id or that requested a slot there.
 void noteSent(UpstreamTable &table, const UpstreamId &id, const AdapterRef &adapter, Instant now);
 
-/// Counts its end, however it ended.
+/// Records the end of a request recorded by noteSent(), whatever its outcome.
 void noteEnded(UpstreamTable &table, const UpstreamId &id);
 
-/// Learns how fast \a id is from \a tokens that took \a took; \a held, where it is known, is how
-/// long the whole request had its slot.
+/// Updates the pace of \a id and its group with a request whose \a tokens took \a took; \a held is
+/// the request's whole slot time, if known.
 void notePace(UpstreamTable &table, const UpstreamId &id, Tokens tokens, Span took,
               std::optional<Span> held, Instant now);
 
-/// What the choice for one request depends on.
+/// The parameters of the choice for one request.
 struct RouteAsk
 {
-    const std::string &group;  ///< Name of the base model or of the service.
-    const AdapterRef &adapter; ///< Empty for a service call.
-    std::uint64_t salt = 0;    ///< Hash of the request's id; draws the sampled candidates.
-    std::span<const UpstreamId> excluded; ///< Failed for this request already.
+    const std::string &group;             ///< Name of the base model or of the service.
+    const AdapterRef &adapter;            ///< Empty for a service call.
+    std::uint64_t salt = 0;               ///< Hash of the request's id; seeds the sampling.
+    std::span<const UpstreamId> excluded; ///< Upstreams that failed for this request.
 };
 
-/// The upstream with the least expected wait, or none where no one may take work.
-std::optional<UpstreamId> chooseUpstream(const UpstreamTable &table, const RouteAsk &ask,
+/// The available upstream with the lowest routeCost(), or none.
+std::optional<UpstreamId> chooseUpstream(const UpstreamTable &table, const RouteAsk &request,
                                          Instant now);
 
-/// Expected seconds until \a entry begins a request for \a adapter, and what taking it there costs
-/// others.
+/// Expected seconds until \a entry starts a request for \a adapter, plus penalties for its cost to
+/// other requests.
 double routeCost(const UpstreamGroup &group, const UpstreamEntry &entry, const AdapterRef &adapter);
 
-/// Whether \a entry may get new work at all.
+/// Whether \a entry may be sent new requests.
 bool mayTakeWork(const UpstreamEntry &entry);
 
-/// Whether \a entry makes tokens so much more slowly than its group that it is avoided.
+/// Whether \a entry is avoided because it generates tokens much more slowly than its group.
 ///
-/// Load pattern: one engine of many is ten times slower and reports a normal load. Routed by load
-/// alone it keeps its part of the requests, and none of their callers gets an answer in time.
+/// Load pattern: one engine of many is ten times slower and reports a normal load. Routing by load
+/// alone would keep sending it its share of the requests, none of which is answered in time.
 bool isSlow(const UpstreamGroup &group, const UpstreamEntry &entry);
 
 } // namespace azurewell
--- a/packages/routing/src/choose_upstream.cpp
+++ b/packages/routing/src/choose_upstream.cpp
@@ -9,25 +9,26 @@
 
 namespace {
 
-/// A group of up to this many is looked at whole.
-constexpr std::size_t mostScanned = 32;
-constexpr std::size_t mostHolders = 8;
+/// In groups of up to this size every upstream is evaluated.
+constexpr std::size_t maxFullScan = 32;
+constexpr std::size_t maxAdapterHolders = 8;
 constexpr std::size_t homesInOwnZone = 4;
 constexpr std::size_t homesInAll = 2;
-constexpr std::size_t drawnInOwnZone = 4;
-constexpr std::size_t drawnInAll = 2;
+constexpr std::size_t sampledInOwnZone = 4;
+constexpr std::size_t sampledInAll = 2;
 
-/// What a load costs a caller and, as the weight store's loads are scarce, everyone else.
+/// Cost of a load in seconds, for the caller and, as the weight store's capacity is scarce, for
+/// others.
 constexpr double loadSeconds = 6.0;
-/// The same where the load is on its way already: it costs nobody anything more.
-constexpr double joinSeconds = 1.0;
-/// Seconds of preference for the adapter's home among engines that would have to load it.
+/// Cost in seconds of waiting for a load that is already in progress.
+constexpr double loadInProgressSeconds = 1.0;
+/// Maximum preference, in seconds, for the adapter's home among engines that would have to load it.
 constexpr double homeSeconds = 4.0;
-/// Seconds of preference for the own zone.
+/// Preference for the own zone, in seconds.
 constexpr double zoneSeconds = 0.3;
-/// Seconds that the last free batch slot of an engine is worth. Requests for a hot adapter that
-/// fill an engine lock up its other adapter slots, so the cost rises before the engine is full.
-constexpr double crowdSeconds = 6.0;
+/// Cost in seconds of using an engine's last free batch slot. Requests for a hot adapter that fill
+/// an engine make its other adapter slots useless, so the cost rises before the engine is full.
+constexpr double occupancySeconds = 6.0;
 
 double loadOf(const UpstreamEntry &entry)
 {
@@ -36,67 +37,68 @@
     return std::max(known, static_cast<double>(entry.inFlight)) / entry.batchSlots;
 }
 
-bool isIn(const std::vector<AdapterRef> &list, const AdapterRef &adapter)
+bool contains(const std::vector<AdapterRef> &list, const AdapterRef &adapter)
 {
     return std::find(list.begin(), list.end(), adapter) != list.end();
 }
 
-bool isOnItsWay(const UpstreamEntry &entry, const AdapterRef &adapter)
+bool isLoadInProgress(const UpstreamEntry &entry, const AdapterRef &adapter)
 {
-    return isIn(entry.report.wanted, adapter)
+    return contains(entry.report.wanted, adapter)
             || std::any_of(entry.expected.begin(), entry.expected.end(),
                            [&adapter](const ExpectedAdapter &expected) {
                                return expected.adapter == adapter;
                            });
 }
 
-/// Seconds until the adapter can serve there.
+/// Expected seconds until the adapter is loaded there, with the home preference.
 double adapterWait(const UpstreamGroup &group, const UpstreamEntry &entry,
                    const AdapterRef &adapter)
 {
-    if (adapter.value.empty() || isIn(entry.report.loaded, adapter))
+    if (adapter.value.empty() || contains(entry.report.loaded, adapter))
         return 0;
-    const bool isJoining = isOnItsWay(entry, adapter);
+    const bool isJoining = isLoadInProgress(entry, adapter);
     const double ahead = static_cast<double>(entry.report.wanted.size())
-            + static_cast<double>(entry.missesSince) + (isJoining ? 0 : 1);
+            + static_cast<double>(entry.missesSinceReport) + (isJoining ? 0 : 1);
     const double missing = ahead - static_cast<double>(entry.report.openSlots);
     const double slotWait = missing <= 0 ? 0 : group.holdSeconds * missing / entry.adapterSlots;
     if (isJoining)
-        return joinSeconds + slotWait;
+        return loadInProgressSeconds + slotWait;
     const std::uint64_t home = rendezvousMix(stableHash(adapter.value), entry.hash);
     const double homeOrder = 1.0 - static_cast<double>(home) / 18446744073709551616.0;
     return loadSeconds + slotWait + homeSeconds * homeOrder;
 }
 
-bool isExcluded(const RouteAsk &ask, const UpstreamEntry &entry)
+bool isExcluded(const RouteAsk &request, const UpstreamEntry &entry)
 {
-    return std::find(ask.excluded.begin(), ask.excluded.end(), entry.id) != ask.excluded.end();
+    return std::find(request.excluded.begin(), request.excluded.end(), entry.id)
+            != request.excluded.end();
 }
 
-/// The best of the candidates given to it.
+/// Keeps the candidate with the lowest cost.
 struct Choice
 {
     const UpstreamTable &table;
     const UpstreamGroup &group;
-    const RouteAsk &ask;
+    const RouteAsk &request;
     Instant now;
-    bool takesSlow = false; ///< Where nothing else can be had.
+    bool acceptsSlow = false; ///< Whether slow upstreams are accepted.
     const UpstreamEntry *best = nullptr;
-    double least = 0;
+    double lowestCost = 0;
 
     void consider(std::uint32_t index)
     {
         const UpstreamEntry &entry = this->table.entries[index];
-        if (!mayTakeWork(entry) || isExcluded(this->ask, entry))
+        if (!mayTakeWork(entry) || isExcluded(this->request, entry))
             return;
         const bool isProbe = entry.inFlight == 0 && this->now >= entry.probeAfter;
-        if (isSlow(this->group, entry) && !isProbe && !this->takesSlow)
+        if (isSlow(this->group, entry) && !isProbe && !this->acceptsSlow)
             return;
-        const double cost = routeCost(this->group, entry, this->ask.adapter);
-        if (this->best && cost >= this->least)
+        const double cost = routeCost(this->group, entry, this->request.adapter);
+        if (this->best && cost >= this->lowestCost)
             return;
         this->best = &entry;
-        this->least = cost;
+        this->lowestCost = cost;
     }
 };
 
@@ -114,13 +116,13 @@
     }
 }
 
-void considerDrawn(Choice &choice, const std::vector<std::uint32_t> &members, std::uint64_t salt,
-                   std::size_t count)
+void considerSampled(Choice &choice, const std::vector<std::uint32_t> &members, std::uint64_t salt,
+                     std::size_t count)
 {
     if (members.empty())
         return;
-    for (std::size_t draw = 0; draw < count; ++draw)
-        choice.consider(members[rendezvousMix(salt, draw + 1) % members.size()]);
+    for (std::size_t sample = 0; sample < count; ++sample)
+        choice.consider(members[rendezvousMix(salt, sample + 1) % members.size()]);
 }
 
 void considerAll(Choice &choice)
@@ -131,13 +133,13 @@
 
 void considerHolders(Choice &choice)
 {
-    const auto found = choice.table.holders.find(choice.ask.adapter);
+    const auto found = choice.table.holders.find(choice.request.adapter);
     if (found == choice.table.holders.end())
         return;
     const std::vector<std::uint32_t> &holders = found->second;
-    const std::size_t count = std::min(holders.size(), mostHolders);
+    const std::size_t count = std::min(holders.size(), maxAdapterHolders);
     for (std::size_t step = 0; step < count; ++step)
-        choice.consider(holders[(choice.ask.salt + step) % holders.size()]);
+        choice.consider(holders[(choice.request.salt + step) % holders.size()]);
 }
 
 } // namespace
@@ -147,7 +149,7 @@
     if (entry.isLeaving || entry.state == UpstreamState::Leaving
         || entry.state == UpstreamState::Ejected)
         return false;
-    // One request at a time tells whether an ejected upstream is well again.
+    // One request at a time probes whether an ejected upstream has recovered.
     return entry.state != UpstreamState::Probing || entry.inFlight == 0;
 }
 
@@ -155,35 +157,35 @@
 {
     const double load = loadOf(entry) + 1.0 / entry.batchSlots;
     const double batchWait = std::max(0.0, load - 1.0) * group.holdSeconds;
-    const double crowd = std::min(load * load, 1.0) * crowdSeconds;
+    const double occupancy = std::min(load * load, 1.0) * occupancySeconds;
     const double zone = entry.isOwnZone ? 0 : zoneSeconds;
-    return batchWait + crowd + zone + adapterWait(group, entry, adapter);
+    return batchWait + occupancy + zone + adapterWait(group, entry, adapter);
 }
 
-std::optional<UpstreamId> chooseUpstream(const UpstreamTable &table, const RouteAsk &ask,
+std::optional<UpstreamId> chooseUpstream(const UpstreamTable &table, const RouteAsk &request,
                                          Instant now)
 {
-    const bool isService = ask.adapter.value.empty();
+    const bool isService = request.adapter.value.empty();
     const auto &byName = isService ? table.serviceGroups : table.engineGroups;
-    const auto found = byName.find(ask.group);
+    const auto found = byName.find(request.group);
     if (found == byName.end())
         return std::nullopt;
     const UpstreamGroup &group = table.groups[found->second];
-    Choice choice{ table, group, ask, now };
-    const bool isSmall = group.all.size() <= mostScanned;
+    Choice choice{ table, group, request, now };
+    const bool isSmall = group.all.size() <= maxFullScan;
     if (!isSmall) {
-        const std::uint64_t key = stableHash(ask.adapter.value);
+        const std::uint64_t key = stableHash(request.adapter.value);
         considerHolders(choice);
         considerHomes(choice, group.ownRing, key, homesInOwnZone);
         considerHomes(choice, group.ring, key, homesInAll);
-        considerDrawn(choice, group.own, ask.salt, drawnInOwnZone);
-        considerDrawn(choice, group.all, ask.salt, drawnInAll);
+        considerSampled(choice, group.own, request.salt, sampledInOwnZone);
+        considerSampled(choice, group.all, request.salt, sampledInAll);
     }
-    // Small groups; and where all candidates are down, any that is up.
+    // Evaluate the whole group if it is small, or if no candidate so far is available.
     if (isSmall || !choice.best)
         considerAll(choice);
     if (!choice.best) {
-        choice.takesSlow = true;
+        choice.acceptsSlow = true;
         considerAll(choice);
     }
     if (!choice.best)
--- a/packages/routing/src/upstream_table.cpp
+++ b/packages/routing/src/upstream_table.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-/// Points of each upstream on a ring: with 8 the fullest of 400 upstreams owns about twice its
-/// part.
+/// Points of each upstream on a ring. With 8 the most loaded of 400 upstreams owns about twice its
+/// share.
 constexpr std::uint64_t ringPoints = 8;
-/// How long an adapter is expected where a request for it went: a heartbeat and a load.
-constexpr Span expectedFor = fromSeconds(1.5);
-constexpr double newWeight = 0.2;
-/// An upstream that takes this many times its group's time for a token is slow. Batching alone
-/// varies it by less than two.
+/// How long an adapter is expected after a request for it was sent: one heartbeat and one load.
+constexpr Span expectationLifetime = fromSeconds(1.5);
+constexpr double sampleWeight = 0.2;
+/// An upstream is slow above this multiple of its group's time per token. Batching alone varies the
+/// time by a factor of less than two.
 constexpr double slowRatio = 3.0;
-/// A slow upstream is tried again after twice this, and each time it is found slow after twice the
-/// time before. Each try costs a caller a late answer.
-constexpr Span firstProbe = fromSeconds(15);
-constexpr std::uint32_t mostDoublings = 6;
+/// The first probe of a slow upstream is sent after twice this, and the delay doubles with each
+/// probe that finds it slow. Each probe costs a caller a late answer.
+constexpr Span probeDelay = fromSeconds(15);
+constexpr std::uint32_t maxDoublings = 6;
 
-void learn(double &mean, double value, double weight)
+void updateMean(double &mean, double value, double weight)
 {
     mean = mean == 0 ? value : mean + (value - mean) * weight;
 }
@@ -96,13 +96,13 @@
             [&adapter](const ExpectedAdapter &expected) { return expected.adapter == adapter; });
 }
 
-bool isKnownThere(const UpstreamEntry &entry, const AdapterRef &adapter)
+bool isLoadedOrExpected(const UpstreamEntry &entry, const AdapterRef &adapter)
 {
     return contains(entry.report.loaded, adapter) || contains(entry.report.wanted, adapter)
             || isExpected(entry, adapter);
 }
 
-/// Drops expectations that the report has confirmed or that are past.
+/// Removes expected adapters that the report confirms or that have expired.
 void dropExpected(UpstreamEntry &entry, Instant now)
 {
     std::erase_if(entry.expected, [&entry, now](const ExpectedAdapter &expected) {
@@ -159,15 +159,15 @@
     const std::vector<ExpectedAdapter> oldExpected = entry.expected;
     dropExpected(entry, now);
     entry.sentSince = 0;
-    entry.missesSince = static_cast<std::int32_t>(entry.expected.size());
-    const auto dropGone = [&](const AdapterRef &adapter) {
-        if (!isKnownThere(entry, adapter))
+    entry.missesSinceReport = static_cast<std::int32_t>(entry.expected.size());
+    const auto dropUnlessExpected = [&](const AdapterRef &adapter) {
+        if (!isLoadedOrExpected(entry, adapter))
             dropHolder(table, adapter, found->second);
     };
-    std::for_each(old.loaded.begin(), old.loaded.end(), dropGone);
-    std::for_each(old.wanted.begin(), old.wanted.end(), dropGone);
+    std::for_each(old.loaded.begin(), old.loaded.end(), dropUnlessExpected);
+    std::for_each(old.wanted.begin(), old.wanted.end(), dropUnlessExpected);
     for (const ExpectedAdapter &expected : oldExpected)
-        dropGone(expected.adapter);
+        dropUnlessExpected(expected.adapter);
     for (const AdapterRef &adapter : entry.report.loaded)
         addHolder(table, adapter, found->second);
     for (const AdapterRef &adapter : entry.report.wanted)
@@ -183,11 +183,11 @@
     ++entry.sentSince;
     ++entry.inFlight;
     if (isSlow(table.groups[entry.group], entry))
-        entry.probeAfter = now + firstProbe * (1LL << entry.slowProbes);
-    if (adapter.value.empty() || isKnownThere(entry, adapter))
+        entry.probeAfter = now + probeDelay * (1LL << entry.failedProbes);
+    if (adapter.value.empty() || isLoadedOrExpected(entry, adapter))
         return;
-    ++entry.missesSince;
-    entry.expected.push_back(ExpectedAdapter{ adapter, now + expectedFor });
+    ++entry.missesSinceReport;
+    entry.expected.push_back(ExpectedAdapter{ adapter, now + expectationLifetime });
     addHolder(table, adapter, found->second);
 }
 
@@ -208,20 +208,20 @@
         return;
     const double pace = toSeconds(took) / static_cast<double>(tokens.count);
     UpstreamGroup &group = table.groups[entry->group];
-    learn(entry->pace, pace, newWeight);
-    // Quick downwards, slow upwards: the first seen may be the slow one.
+    updateMean(entry->pace, pace, sampleWeight);
+    // Fast decrease, slow increase: the first sample may come from a slow member.
     if (pace < group.pace)
-        learn(group.pace, pace, 0.5);
+        updateMean(group.pace, pace, 0.5);
     if (isSlow(group, *entry)) {
-        // A group's pace is that of its healthy members.
-        entry->slowProbes = std::min(entry->slowProbes + 1, mostDoublings);
-        entry->probeAfter = now + firstProbe * (1LL << entry->slowProbes);
+        // The group's pace is the mean of its healthy members only.
+        entry->failedProbes = std::min(entry->failedProbes + 1, maxDoublings);
+        entry->probeAfter = now + probeDelay * (1LL << entry->failedProbes);
         return;
     }
-    entry->slowProbes = 0;
-    learn(group.pace, pace, newWeight / 10);
+    entry->failedProbes = 0;
+    updateMean(group.pace, pace, sampleWeight / 10);
     if (held)
-        learn(group.holdSeconds, toSeconds(*held), newWeight / 10);
+        updateMean(group.holdSeconds, toSeconds(*held), sampleWeight / 10);
 }
 
 } // namespace azurewell
--- a/packages/routing/tests/routing_test.cpp
+++ b/packages/routing/tests/routing_test.cpp
@@ -14,7 +14,7 @@
 const AdapterRef wanted{ "a@1" };
 const std::string baseModel = "m";
 
-/// Engines e0, e1, ... of sixteen batch slots in the own zone, all live.
+/// Engines e0, e1, ... with 16 batch slots each, in the own zone.
 UpstreamTable tableOf(int engines)
 {
     std::unordered_map<UpstreamId, Upstream> inForce;
@@ -34,12 +34,12 @@
 
 void report(UpstreamTable &table, const char *id, std::uint32_t running, bool hasAdapter)
 {
-    EngineReport word;
-    word.running = running;
-    word.openSlots = 8;
+    EngineReport summary;
+    summary.running = running;
+    summary.openSlots = 8;
     if (hasAdapter)
-        word.loaded = { wanted };
-    noteReport(table, UpstreamId{ id }, word, Instant{ 0 });
+        summary.loaded = { wanted };
+    noteReport(table, UpstreamId{ id }, summary, Instant{ 0 });
 }
 
 std::optional<UpstreamId> choose(const UpstreamTable &table, Instant now = Instant{ 0 },
@@ -50,7 +50,7 @@
 
 } // namespace
 
-TEST(Routing, ALoadedAdapterIsPreferredUntilItsEngineIsOverloaded)
+TEST(Routing, LoadedAdapterIsPreferredUntilItsEngineIsOverloaded)
 {
     UpstreamTable table = tableOf(2);
     report(table, "e0", 14, true);
@@ -60,21 +60,21 @@
     EXPECT_EQ(choose(table), UpstreamId{ "e1" });
 }
 
-// The platform marks an engine as leaving. New work sent there would be cut off when it goes.
-TEST(Routing, ALeavingUpstreamGetsNoNewWork)
+// Guards against sending new requests to a leaving engine, where they would be cut off.
+TEST(Routing, LeavingUpstreamGetsNoNewRequests)
 {
     UpstreamTable table = tableOf(1);
     EXPECT_TRUE(choose(table));
     setState(table, UpstreamId{ "e0" }, UpstreamState::Leaving);
     EXPECT_FALSE(choose(table));
     setState(table, UpstreamId{ "e0" }, UpstreamState::Live);
-    setUpstreams(table, {}, ZoneId{ "z" }); // no longer in the tickets
+    setUpstreams(table, {}, ZoneId{ "z" }); // removed from the tickets
     EXPECT_FALSE(choose(table));
 }
 
-// Reports are half a second late. A burst that arrives between two of them would all go to the
-// engine that was idle at the last one, and its callers would wait there while others stand idle.
-TEST(Routing, OwnRequestsSinceTheReportCount)
+// Guards against sending a whole burst to one engine: reports are up to 500 ms old, and requests
+// sent since the last report must count as load.
+TEST(Routing, RequestsSentSinceTheReportCountAsLoad)
 {
     UpstreamTable table = tableOf(2);
     report(table, "e0", 0, true);
@@ -88,9 +88,9 @@
     EXPECT_NEAR(sent["e0"], sent["e1"], 1);
 }
 
-// Two callers ask for an adapter that no engine holds, within the same moment. Sent to two engines,
-// they would cost the weight store two loads.
-TEST(Routing, ASecondRequestFollowsTheFirstToTheLoad)
+// Guards against a duplicate load: two simultaneous requests for an adapter that no engine holds
+// must go to the same engine.
+TEST(Routing, SecondRequestJoinsTheFirstLoad)
 {
     UpstreamTable table = tableOf(8);
     for (const char *id : { "e0", "e1", "e2", "e3", "e4", "e5", "e6", "e7" })
@@ -100,9 +100,9 @@
     EXPECT_EQ(choose(table), first);
 }
 
-// One engine becomes ten times slower and reports a normal load. Its callers get their answers too
-// late; it has to lose its traffic, be tried with single requests, and get it back when it is well.
-TEST(Routing, ASlowEngineIsAvoidedAndLetBackOneRequestAtATime)
+// Guards against late answers from an engine that is ten times slower and reports a normal load: it
+// must be avoided, probed with single requests, and used again once it has recovered.
+TEST(Routing, SlowEngineIsAvoidedAndProbedWithSingleRequests)
 {
     UpstreamTable table = tableOf(2);
     report(table, "e0", 0, true);
@@ -121,9 +121,9 @@
     EXPECT_EQ(choose(table, later), UpstreamId{ "e0" });
 }
 
-// The own zone's engines are busy but not full, another zone's are idle: the caller stays at home.
-// Once they are full it is served elsewhere rather than made to wait.
-TEST(Routing, TheOwnZoneComesFirstAndSpillsWhenFull)
+// Guards against needless traffic between zones while the own zone has capacity, and against
+// waiting for the own zone when it is full and another one is idle.
+TEST(Routing, OwnZoneIsPreferredUntilItIsFull)
 {
     std::unordered_map<UpstreamId, Upstream> inForce;
     for (const char *id : { "home", "away" }) {
@@ -143,9 +143,9 @@
     EXPECT_EQ(choose(table), UpstreamId{ "away" });
 }
 
-// Thousands of engines: only a few are looked at for a request, and the one that holds the adapter
-// has to be among them whatever the request is.
-TEST(Routing, AHolderIsFoundAmongThousands)
+// Guards against needless loads in a large fleet: only a few engines are evaluated for a request,
+// and the one that holds the adapter must be among them.
+TEST(Routing, EngineWithTheAdapterIsFoundAmongThousands)
 {
     UpstreamTable table = tableOf(3900);
     report(table, "e1234", 3, true);
@@ -153,7 +153,7 @@
         EXPECT_EQ(choose(table, Instant{ 0 }, salt), UpstreamId{ "e1234" });
 }
 
-TEST(Routing, OnlyKeysOfALostNodeMove)
+TEST(Routing, OnlyKeysOfARemovedNodeMove)
 {
     const std::vector<std::string> nodes{ "h0", "h1", "h2", "h3" };
     int moved = 0;
@@ -174,9 +174,9 @@
     EXPECT_NEAR(moved, 250, 60);
 }
 
-// Every upstream answers 503 for a while. A caller sees a refusal after at most a few tries, and
-// the upstreams see less than a tenth more traffic than without retries.
-TEST(Routing, RetriesStayUnderATenthOfFirstTries)
+// Guards against retry storms: while every upstream answers 503, retries add less than a tenth to
+// the traffic.
+TEST(Routing, RetriesStayBelowATenthOfFirstAttempts)
 {
     RetryBudget budget;
     int retries = 0;
