--- a/packages/tickets/include/azurewell/tickets/json_reader.h
+++ b/packages/tickets/include/azurewell/tickets/json_reader.h
@@ -12,33 +12,35 @@
 
 namespace azurewell {
 
-/// Parses JSON with comments. Errors: \a code with the line and what was expected.
+/// Parses JSON with comments. Errors: \a code with the line and the parser's message.
 Result<nlohmann::json> parseJsonWithComments(std::string_view text, ResultCode code);
 
-/// Reads the fields of one JSON object and remembers the first complaint, so that a reader of many
-/// fields needs one check at its end. Paths in complaints look like `customers[2].rate`.
+/// Reads the fields of one JSON object and keeps the first error, so that code that reads many
+/// fields checks once at the end. Errors name the path of the field, such as `customers[2].rate`.
 class JsonReader
 {
 public:
-    JsonReader(const nlohmann::json &object, std::string path, std::string &complaint);
+    JsonReader(const nlohmann::json &object, std::string path, std::string &firstError);
 
-    /// The string at \a key; a complaint where it is missing (unless \a fallback is given) or no
-    /// string.
+    /// The string at \a key. It is an error if it is missing (unless \a fallback is given), empty
+    /// or not a string.
     std::string text(const char *key);
     std::string text(const char *key, const std::string &fallback);
-    /// A number in [\a least, \a most].
-    double number(const char *key, double least, double most);
-    double number(const char *key, double least, double most, double fallback);
+    /// The number at \a key. It is an error if it is not in [\a min, \a max], or missing without
+    /// \a fallback.
+    double number(const char *key, double min, double max);
+    double number(const char *key, double min, double max, double fallback);
     bool flag(const char *key, bool fallback);
-    /// The strings in the array at \a key; empty where it is missing.
+    /// The strings in the array at \a key; empty if it is missing.
     std::vector<std::string> texts(const char *key);
-    /// The objects in the array at \a key, each with its path; empty where it is missing.
+    /// Readers of the objects in the array at \a key; empty if it is missing.
     std::vector<JsonReader> objects(const char *key);
-    /// The object at \a key; a null object where it is missing.
+    /// A reader of the object at \a key; of an empty object if it is missing.
     JsonReader object(const char *key);
     bool has(const char *key) const;
-    /// Complains of any key that is not in \a known: a misspelt key must not pass silently.
+    /// Records an error for any key not in \a known, so that misspelt keys are not ignored.
     void allowOnly(std::initializer_list<std::string_view> known);
+    /// Records an error at \a key, unless there is an earlier one.
     void complain(const std::string &key, const std::string &what);
 
 private:
@@ -47,7 +49,7 @@
 
     const nlohmann::json *source;
     std::string path;
-    std::string *complaint;
+    std::string *firstError;
 };
 
 } // namespace azurewell
--- a/packages/tickets/include/azurewell/tickets/records.h
+++ b/packages/tickets/include/azurewell/tickets/records.h
@@ -10,20 +10,20 @@
 
 namespace azurewell {
 
-/// A customer: the rate and burst hold over the whole fleet.
+/// A customer. Rate and burst apply to the whole fleet.
 struct Customer
 {
     CustomerId id;
-    TokenRate rate;      ///< Prompt and generated tokens per second, all hosts together.
-    Tokens burst;        ///< Most tokens at one moment, all hosts together.
-    double weight = 1.0; ///< Share of a full engine relative to other customers.
+    TokenRate rate;                  ///< Prompt and generated tokens per second over all hosts.
+    Tokens burst;                    ///< Maximum tokens at once over all hosts.
+    double weight = 1.0;             ///< Relative share of a saturated engine.
     std::vector<ServiceId> services; ///< Services the customer may call.
     TicketNumber ticket;             ///< The ticket that put this record in force.
 };
 
 enum class KeyState : std::uint8_t { Issued, Withdrawn };
 
-/// A caller's key, by its hash.
+/// A caller's API key, identified by its hash.
 struct Key
 {
     KeyHash hash;
@@ -32,7 +32,7 @@
     TicketNumber ticket;
 };
 
-/// One version of an adapter, and whose it is.
+/// One version of an adapter and the customer that owns it.
 struct Adapter
 {
     AdapterRef ref;
@@ -43,7 +43,7 @@
 
 enum class UpstreamKind : std::uint8_t { Engine, Service };
 
-/// An engine or a plain-service back end.
+/// An engine or a back end of a plain service.
 struct Upstream
 {
     UpstreamId id;
@@ -52,9 +52,9 @@
     std::string address;            ///< IP and port.
     std::string baseModel;          ///< Engines only.
     ServiceId service;              ///< Service back ends only.
-    std::uint32_t batchSlots = 1;   ///< Requests it runs at once.
-    std::uint32_t adapterSlots = 1; ///< Adapters it holds at once; engines only.
-    bool checksFencing = false;     ///< Whether it refuses orders with an old fencing number.
+    std::uint32_t batchSlots = 1;   ///< Requests it runs concurrently.
+    std::uint32_t adapterSlots = 1; ///< Adapters it can hold; engines only.
+    bool checksFencing = false;     ///< Whether it rejects orders with an outdated fencing number.
     bool isLeaving = false;
     TicketNumber ticket;
 };
@@ -63,11 +63,11 @@
 struct Service
 {
     ServiceId id;
-    bool isIdempotent = false; ///< Whether a call may be sent twice.
+    bool isIdempotent = false; ///< Whether calls may be retried after an unknown outcome.
     TicketNumber ticket;
 };
 
-/// An availability zone and its host places; shares of rate and burst belong to places.
+/// An availability zone and its number of host ordinals, which own the shares of rate and burst.
 struct Zone
 {
     ZoneId id;
@@ -78,9 +78,8 @@
 /// Settings of the whole fleet.
 struct FleetSettings
 {
-    /// A host that has had no word from the configuration service for so long, neither itself nor
-    /// through other hosts, serves nothing new: a key may have been withdrawn meanwhile. Zero: it
-    /// goes on.
+    /// A host that has received no update from the configuration service for this long, directly or
+    /// through other hosts, rejects new requests, as a key may have been withdrawn. Zero: no limit.
     Span longestWithoutNews{};
     TicketNumber ticket;
 };
--- a/packages/tickets/include/azurewell/tickets/snapshot.h
+++ b/packages/tickets/include/azurewell/tickets/snapshot.h
@@ -8,21 +8,21 @@
 
 namespace azurewell {
 
-/// A snapshot is the whole state in force after one ticket, as a row of segments. A host that
-/// starts reads it instead of every ticket since the first: 22,000 a day would take it ever longer.
-/// A segment is JSON in the form of a ticket, each record with the number of its own ticket.
+/// A snapshot is the whole state in force after one ticket, in a sequence of segments. A host that
+/// starts reads it instead of all tickets, whose number grows by 22,000 a day. A segment is JSON in
+/// the format of a ticket, in which each record has the number of its own ticket.
 
-/// Records in one segment. 1,000 adapters are about 110 KB: far under the platform's megabyte, and
-/// read in a few milliseconds, during which a host does nothing else.
+/// Records in one segment. 1,000 adapters are about 110 KB: far below the platform's limit of one
+/// megabyte, and parsed in a few milliseconds, during which a host does nothing else.
 inline constexpr std::size_t recordsPerSegment = 1000;
 
-/// How many segments the state makes; at least one.
+/// The number of segments of \a state; at least one.
 std::uint32_t segmentCount(const StateInForce &state);
 
-/// Segment \a number (from 0) of the state.
+/// Writes segment \a number (from 0) of \a state as JSON.
 std::string writeSegment(const StateInForce &state, std::uint32_t number);
 
-/// One segment, read.
+/// A parsed segment.
 struct SnapshotSegment
 {
     TicketNumber ticket;
@@ -32,10 +32,11 @@
     std::vector<TicketSummary> history;
 };
 
-/// Reads a segment. Errors: TicketInvalid with what is wrong.
+/// Parses a segment. Errors: TicketInvalid with the reason.
 Result<SnapshotSegment> parseSegment(std::string_view text);
 
-/// What the platform holds under `tickets/snapshot`: which snapshot its segments make.
+/// The value under `tickets/snapshot` at the platform: the ticket and segment count of its
+/// snapshot.
 struct SnapshotIndex
 {
     TicketNumber ticket;
@@ -44,20 +45,20 @@
 
 std::string writeSnapshotIndex(const StateInForce &state);
 
-/// Errors: TicketInvalid.
+/// Parses a snapshot index. Errors: TicketInvalid with the reason.
 Result<SnapshotIndex> parseSnapshotIndex(std::string_view text);
 
-/// A snapshot on its way. Nothing of it is in force before the last segment is here.
+/// A partly received snapshot. It is not in force before its last segment has been added.
 struct SnapshotAssembly
 {
     TicketNumber ticket;
     std::uint32_t count = 0;
-    std::uint32_t next = 0; ///< The segment that is awaited.
+    std::uint32_t next = 0; ///< Number of the next segment.
     StateInForce state;
 };
 
-/// Adds \a segment if it is the one awaited; one of another snapshot begins anew where it is the
-/// first, and is ignored otherwise. True once the snapshot is whole.
+/// Adds \a segment if it is the next one of the snapshot, and ignores it otherwise. A first segment
+/// always starts a new snapshot. Returns true once the snapshot is complete.
 bool addSegment(SnapshotAssembly &assembly, const SnapshotSegment &segment);
 
 } // namespace azurewell
--- a/packages/tickets/include/azurewell/tickets/state_in_force.h
+++ b/packages/tickets/include/azurewell/tickets/state_in_force.h
@@ -9,7 +9,7 @@
 
 namespace azurewell {
 
-/// A line of the history that operators read.
+/// An entry of the ticket history for operators.
 struct TicketSummary
 {
     TicketNumber number;
@@ -17,7 +17,7 @@
     std::string why;
 };
 
-/// What all tickets up to `ticket` put in force. A host never goes back to a lower number.
+/// The state after applying all tickets up to `ticket`, which never decreases at a host.
 struct StateInForce
 {
     TicketNumber ticket;
@@ -29,20 +29,20 @@
     std::unordered_map<ZoneId, Zone> zones;
     FleetSettings fleet;
     std::vector<TicketSummary>
-            history; ///< The newest last; the oldest are dropped beyond historyLimit.
+            history; ///< Newest last, limited to the newest historyLimit entries.
 
     static constexpr std::size_t historyLimit = 1000;
 };
 
-/// Puts \a ticket in force: whole, or not at all. Errors: TicketOutOfOrder unless its number is the
-/// next one; TicketInvalid where it names a customer or zone that does not exist.
+/// Applies \a ticket completely or not at all. Errors: TicketOutOfOrder unless its number is the
+/// next one; TicketInvalid if it refers to an unknown customer or zone, or exceeds maxBaseModels.
 Result<TicketNumber> applyTicket(StateInForce &state, const Ticket &ticket);
 
 /// The customer of \a key. Errors: KeyUnknown, KeyWithdrawn.
 Result<const Customer *> customerOf(const StateInForce &state, const KeyHash &key);
 
-/// The adapter \a ref if it is \a customer's. Errors: AdapterUnknown, also for another customer's
-/// adapter, so that names cannot be probed.
+/// The adapter \a ref of \a customer. Errors: AdapterUnknown, also for another customer's adapter,
+/// so that callers can't probe for names.
 Result<AdapterView> adapterFor(const StateInForce &state, const CustomerId &customer,
                                const AdapterRef &ref);
 
--- a/packages/tickets/include/azurewell/tickets/ticket.h
+++ b/packages/tickets/include/azurewell/tickets/ticket.h
@@ -10,12 +10,12 @@
 
 namespace azurewell {
 
-/// A change ticket: numbered, with the whole new state of each record it touches.
+/// A numbered change of the configuration, with the complete new state of each changed record.
 struct Ticket
 {
     TicketNumber number;
-    std::string by;  ///< Who asked for the change.
-    std::string why; ///< The reason, for whoever reads it later.
+    std::string by;  ///< Who requested the change.
+    std::string why; ///< The reason for the change.
     std::vector<Customer> customers;
     std::vector<Key> keys;
     std::vector<Adapter> adapters;
@@ -28,8 +28,8 @@
     std::vector<UpstreamId> removedUpstreams;
 };
 
-/// Reads a ticket from JSON with comments (docs/TICKETS.md has the format). Errors: TicketInvalid
-/// with the line or the key, what is wrong and what is allowed.
+/// Parses a ticket from JSON with comments (format: docs/TICKETS.md). Errors: TicketInvalid with
+/// the line or the key, the reason and what is allowed.
 Result<Ticket> parseTicket(std::string_view text);
 
 } // namespace azurewell
--- a/packages/tickets/src/adapter_table.cpp
+++ b/packages/tickets/src/adapter_table.cpp
@@ -7,24 +7,23 @@
 
 namespace {
 
-constexpr std::size_t leastIndex = 16;
-/// The index grows when it is fuller than this: linear probing then looks at three slots on
-/// average.
-constexpr std::size_t fullNumerator = 4;
-constexpr std::size_t fullDenominator = 5;
-/// Growth by an eighth: a doubling of 8 MB would leave half of it unused.
-constexpr std::size_t growthPart = 8;
+constexpr std::size_t minIndexSize = 16;
+/// Maximum load factor of the index: linear probing then checks three slots on average.
+constexpr std::size_t maxLoadNumerator = 4;
+constexpr std::size_t maxLoadDenominator = 5;
+/// Capacity grows by an eighth: doubling 8 MB could leave half of it unused.
+constexpr std::size_t growthDivisor = 8;
 
 template <typename Container>
-void makeRoom(Container &container, std::size_t more)
+void reserveMore(Container &container, std::size_t more)
 {
     const std::size_t needed = container.size() + more;
     if (needed > container.capacity())
         container.reserve(
-                std::max(needed, container.capacity() + container.capacity() / growthPart));
+                std::max(needed, container.capacity() + container.capacity() / growthDivisor));
 }
 
-/// The number of \a model in \a models, added where it is new. Base models are few.
+/// The index of \a model in \a models, where it is added if new. Base models are few.
 std::size_t numberOf(std::vector<std::string> &models, const std::string &model)
 {
     const auto found = std::find(models.begin(), models.end(), model);
@@ -42,15 +41,15 @@
     return std::string_view(this->names.data() + row.name + 1, length);
 }
 
-std::size_t AdapterTable::homeOf(std::string_view name) const
+std::size_t AdapterTable::homeSlot(std::string_view name) const
 {
     return std::hash<std::string_view>{}(name) & (this->index.size() - 1);
 }
 
-/// The slot that names the adapter, or the free one where it would go.
+/// The slot of the adapter, or the free slot to insert it.
 std::size_t AdapterTable::slotOf(std::string_view name) const
 {
-    std::size_t slot = this->homeOf(name);
+    std::size_t slot = this->homeSlot(name);
     while (this->index[slot] != 0 && this->nameOf(this->rows[this->index[slot] - 1]) != name)
         slot = (slot + 1) & (this->index.size() - 1);
     return slot;
@@ -58,19 +57,19 @@
 
 std::size_t AdapterTable::slotOfRow(std::uint32_t row) const
 {
-    std::size_t slot = this->homeOf(this->nameOf(this->rows[row]));
+    std::size_t slot = this->homeSlot(this->nameOf(this->rows[row]));
     while (this->index[slot] != row + 1)
         slot = (slot + 1) & (this->index.size() - 1);
     return slot;
 }
 
-/// Frees \a slot and moves the following entries up, so that no search stops at the gap too early.
+/// Frees \a slot and shifts the following entries back, so that no search stops early at the gap.
 void AdapterTable::freeSlot(std::size_t slot)
 {
     const std::size_t mask = this->index.size() - 1;
     std::size_t next = (slot + 1) & mask;
     while (this->index[next] != 0) {
-        const std::size_t home = this->homeOf(this->nameOf(this->rows[this->index[next] - 1]));
+        const std::size_t home = this->homeSlot(this->nameOf(this->rows[this->index[next] - 1]));
         const bool mayMove = ((next - home) & mask) >= ((next - slot) & mask);
         if (mayMove) {
             this->index[slot] = this->index[next];
@@ -83,7 +82,7 @@
 
 void AdapterTable::growIndex()
 {
-    const std::size_t wanted = std::max(leastIndex, this->index.size() * 2);
+    const std::size_t wanted = std::max(minIndexSize, this->index.size() * 2);
     this->index.assign(wanted, 0);
     for (std::size_t row = 0; row < this->rows.size(); ++row) {
         const std::size_t slot = this->slotOf(this->nameOf(this->rows[row]));
@@ -91,10 +90,10 @@
     }
 }
 
-void AdapterTable::dropGarbage()
+void AdapterTable::compactNames()
 {
     std::vector<char> kept;
-    kept.reserve(this->names.size() - this->garbage);
+    kept.reserve(this->names.size() - this->unusedBytes);
     for (Row &row : this->rows) {
         const std::uint32_t name = static_cast<std::uint32_t>(kept.size());
         const std::string_view text = this->nameOf(row);
@@ -103,7 +102,7 @@
         row.name = name;
     }
     this->names = std::move(kept);
-    this->garbage = 0;
+    this->unusedBytes = 0;
 }
 
 std::size_t AdapterTable::size() const
@@ -140,16 +139,16 @@
 
 void AdapterTable::set(const Adapter &adapter)
 {
-    if ((this->rows.size() + 1) * fullDenominator > this->index.size() * fullNumerator)
+    if ((this->rows.size() + 1) * maxLoadDenominator > this->index.size() * maxLoadNumerator)
         this->growIndex();
     const std::size_t slot = this->slotOf(adapter.ref.value);
     if (this->index[slot] == 0) {
         Row row;
         row.name = static_cast<std::uint32_t>(this->names.size());
-        makeRoom(this->names, adapter.ref.value.size() + 1);
+        reserveMore(this->names, adapter.ref.value.size() + 1);
         this->names.push_back(static_cast<char>(adapter.ref.value.size()));
         this->names.insert(this->names.end(), adapter.ref.value.begin(), adapter.ref.value.end());
-        makeRoom(this->rows, 1);
+        reserveMore(this->rows, 1);
         this->rows.push_back(row);
         this->index[slot] = static_cast<std::uint32_t>(this->rows.size());
     }
@@ -170,15 +169,15 @@
     const std::size_t slot = this->slotOf(ref.value);
     const std::uint32_t row = this->index[slot] - 1;
     this->freeSlot(slot);
-    this->garbage += ref.value.size() + 1;
+    this->unusedBytes += ref.value.size() + 1;
     const std::uint32_t last = static_cast<std::uint32_t>(this->rows.size()) - 1;
     if (row != last) { // the last row fills the gap
         this->index[this->slotOfRow(last)] = row + 1;
         this->rows[row] = this->rows[last];
     }
     this->rows.pop_back();
-    if (this->garbage > this->names.size() / 4)
-        this->dropGarbage();
+    if (this->unusedBytes > this->names.size() / 4)
+        this->compactNames();
 }
 
 } // namespace azurewell
--- a/packages/tickets/src/json_reader.cpp
+++ b/packages/tickets/src/json_reader.cpp
@@ -10,9 +10,9 @@
 
 const json emptyObject = json::object();
 
-std::string rangeText(double least, double most)
+std::string rangeText(double min, double max)
 {
-    return "must be a number from " + json(least).dump() + " to " + json(most).dump();
+    return "must be a number from " + json(min).dump() + " to " + json(max).dump();
 }
 
 } // namespace
@@ -29,10 +29,10 @@
     }
 }
 
-JsonReader::JsonReader(const json &object, std::string where, std::string &firstComplaint)
+JsonReader::JsonReader(const json &object, std::string where, std::string &error)
     : source(&object)
     , path(std::move(where))
-    , complaint(&firstComplaint)
+    , firstError(&error)
 {
     if (!object.is_object())
         this->complain("", "must be an object");
@@ -40,8 +40,8 @@
 
 void JsonReader::complain(const std::string &key, const std::string &what)
 {
-    if (this->complaint->empty())
-        *this->complaint = this->pathOf(key) + ": " + what;
+    if (this->firstError->empty())
+        *this->firstError = this->pathOf(key) + ": " + what;
 }
 
 std::string JsonReader::pathOf(const std::string &key) const
@@ -74,20 +74,20 @@
     return this->find(key) ? this->text(key) : fallback;
 }
 
-double JsonReader::number(const char *key, double least, double most)
+double JsonReader::number(const char *key, double min, double max)
 {
     const auto *value = this->find(key);
     const bool isNumber = value && value->is_number();
-    if (!isNumber || value->get<double>() < least || value->get<double>() > most) {
-        this->complain(key, rangeText(least, most));
-        return least;
+    if (!isNumber || value->get<double>() < min || value->get<double>() > max) {
+        this->complain(key, rangeText(min, max));
+        return min;
     }
     return value->get<double>();
 }
 
-double JsonReader::number(const char *key, double least, double most, double fallback)
+double JsonReader::number(const char *key, double min, double max, double fallback)
 {
-    return this->find(key) ? this->number(key, least, most) : fallback;
+    return this->find(key) ? this->number(key, min, max) : fallback;
 }
 
 bool JsonReader::flag(const char *key, bool fallback)
@@ -133,7 +133,7 @@
     }
     for (std::size_t index = 0; index < array->size(); ++index) {
         const std::string where = this->pathOf(key) + "[" + std::to_string(index) + "]";
-        readers.emplace_back((*array)[index], where, *this->complaint);
+        readers.emplace_back((*array)[index], where, *this->firstError);
     }
     return readers;
 }
@@ -141,7 +141,7 @@
 JsonReader JsonReader::object(const char *key)
 {
     const auto *value = this->find(key);
-    return JsonReader(value ? *value : emptyObject, this->pathOf(key), *this->complaint);
+    return JsonReader(value ? *value : emptyObject, this->pathOf(key), *this->firstError);
 }
 
 bool JsonReader::has(const char *key) const
--- a/packages/tickets/src/record_reader.h
+++ b/packages/tickets/src/record_reader.h
@@ -5,18 +5,18 @@
 
 namespace azurewell {
 
-inline constexpr double mostTicketNumber = 9e15; // integers up to here are exact in a double
-inline constexpr double mostSegments = 100'000;
+inline constexpr double maxTicketNumber = 9e15; // integers up to this are exact in a double
+inline constexpr double maxSegments = 100'000;
 
-/// Where records are read from. In a snapshot each carries the number of its own ticket; in a
-/// ticket none may.
+/// Where records are read from. In a snapshot each record has the number of its own ticket; in a
+/// ticket that is an error.
 struct RecordSource
 {
     TicketNumber ticket;
     bool isSnapshot = false;
 };
 
-/// Reads the records of a ticket's or segment's `set` into \a ticket.
+/// Reads the records in the `set` object of a ticket or segment into \a ticket.
 void readSets(JsonReader &sets, const RecordSource &source, Ticket &ticket);
 
 } // namespace azurewell
--- a/packages/tickets/src/snapshot.cpp
+++ b/packages/tickets/src/snapshot.cpp
@@ -70,39 +70,39 @@
                  { "ticket", zone.ticket.value } };
 }
 
-/// The records of one segment out of all records in a fixed order of kinds.
+/// Collects the records of one segment from all records, in a fixed order of kinds.
 struct SegmentWriter
 {
-    std::size_t from = 0;
-    std::size_t to = 0;
-    std::size_t passed = 0; ///< Records of the kinds before.
+    std::size_t begin = 0;
+    std::size_t end = 0;
+    std::size_t offset = 0; ///< Number of records of the preceding kinds.
     json sets = json::object();
 
     template <typename Id, typename Record>
     void add(const char *kind, const std::unordered_map<Id, Record> &records)
     {
-        const bool isElsewhere = this->passed + records.size() <= this->from
-                || this->passed >= this->to;
+        const bool isElsewhere = this->offset + records.size() <= this->begin
+                || this->offset >= this->end;
         if (!isElsewhere) {
             json list = json::array();
-            std::size_t place = this->passed;
+            std::size_t position = this->offset;
             for (const auto &[id, record] : records) {
-                if (place >= this->from && place < this->to)
+                if (position >= this->begin && position < this->end)
                     list.push_back(toJson(record));
-                ++place;
+                ++position;
             }
             this->sets[kind] = std::move(list);
         }
-        this->passed += records.size();
+        this->offset += records.size();
     }
 
     void add(const AdapterTable &adapters)
     {
         json list = json::array();
-        const std::size_t first = std::max(this->from, this->passed);
-        const std::size_t last = std::min(this->to, this->passed + adapters.size());
-        for (std::size_t place = first; place < last; ++place)
-            list.push_back(toJson(adapters.at(place - this->passed)));
+        const std::size_t first = std::max(this->begin, this->offset);
+        const std::size_t last = std::min(this->end, this->offset + adapters.size());
+        for (std::size_t position = first; position < last; ++position)
+            list.push_back(toJson(adapters.at(position - this->offset)));
         this->sets["adapters"] = std::move(list);
     }
 };
@@ -122,7 +122,7 @@
     return history;
 }
 
-void putRecords(StateInForce &state, const SnapshotSegment &segment)
+void addRecords(StateInForce &state, const SnapshotSegment &segment)
 {
     for (const Zone &zone : segment.records.zones)
         state.zones[zone.id] = zone;
@@ -152,8 +152,8 @@
 std::string writeSegment(const StateInForce &state, std::uint32_t number)
 {
     SegmentWriter writer;
-    writer.from = number * recordsPerSegment;
-    writer.to = writer.from + recordsPerSegment;
+    writer.begin = number * recordsPerSegment;
+    writer.end = writer.begin + recordsPerSegment;
     writer.add("zones", state.zones);
     writer.add("customers", state.customers);
     writer.add("services", state.services);
@@ -178,13 +178,13 @@
     const Result<json> parsed = parseJsonWithComments(text, ResultCode::TicketInvalid);
     if (!parsed)
         return parsed.error();
-    std::string complaint;
-    JsonReader reader(parsed.value(), "", complaint);
+    std::string firstError;
+    JsonReader reader(parsed.value(), "", firstError);
     reader.allowOnly({ "snapshot", "segment", "segments", "set", "history" });
     SnapshotSegment segment;
     segment.ticket = TicketNumber{ static_cast<std::uint64_t>(
-            reader.number("snapshot", 1, mostTicketNumber)) };
-    segment.count = static_cast<std::uint32_t>(reader.number("segments", 1, mostSegments));
+            reader.number("snapshot", 1, maxTicketNumber)) };
+    segment.count = static_cast<std::uint32_t>(reader.number("segments", 1, maxSegments));
     segment.number = static_cast<std::uint32_t>(reader.number("segment", 0, segment.count - 1));
     segment.records.number = segment.ticket;
     JsonReader sets = reader.object("set");
@@ -192,10 +192,10 @@
     for (JsonReader &entry : reader.objects("history"))
         segment.history.push_back(
                 TicketSummary{ TicketNumber{ static_cast<std::uint64_t>(
-                                       entry.number("ticket", 1, mostTicketNumber)) },
+                                       entry.number("ticket", 1, maxTicketNumber)) },
                                entry.text("by"), entry.text("why") });
-    if (!complaint.empty())
-        return Error{ ResultCode::TicketInvalid, complaint };
+    if (!firstError.empty())
+        return Error{ ResultCode::TicketInvalid, firstError };
     return segment;
 }
 
@@ -209,15 +209,15 @@
     const Result<json> parsed = parseJsonWithComments(text, ResultCode::TicketInvalid);
     if (!parsed)
         return parsed.error();
-    std::string complaint;
-    JsonReader reader(parsed.value(), "", complaint);
+    std::string firstError;
+    JsonReader reader(parsed.value(), "", firstError);
     reader.allowOnly({ "snapshot", "segments" });
     SnapshotIndex index;
     index.ticket = TicketNumber{ static_cast<std::uint64_t>(
-            reader.number("snapshot", 1, mostTicketNumber)) };
-    index.segments = static_cast<std::uint32_t>(reader.number("segments", 1, mostSegments));
-    if (!complaint.empty())
-        return Error{ ResultCode::TicketInvalid, complaint };
+            reader.number("snapshot", 1, maxTicketNumber)) };
+    index.segments = static_cast<std::uint32_t>(reader.number("segments", 1, maxSegments));
+    if (!firstError.empty())
+        return Error{ ResultCode::TicketInvalid, firstError };
     return index;
 }
 
@@ -228,11 +228,11 @@
         assembly.ticket = segment.ticket;
         assembly.count = segment.count;
     }
-    const bool isAwaited = segment.ticket == assembly.ticket && segment.count == assembly.count
+    const bool isNext = segment.ticket == assembly.ticket && segment.count == assembly.count
             && segment.number == assembly.next && assembly.next < assembly.count;
-    if (!isAwaited)
+    if (!isNext)
         return false;
-    putRecords(assembly.state, segment);
+    addRecords(assembly.state, segment);
     ++assembly.next;
     if (assembly.next < assembly.count)
         return false;
--- a/packages/tickets/src/state_in_force.cpp
+++ b/packages/tickets/src/state_in_force.cpp
@@ -14,19 +14,20 @@
 
 bool hasCustomer(const StateInForce &state, const Ticket &ticket, const CustomerId &id)
 {
-    const auto isIt = [&id](const Customer &customer) {
+    const auto matches = [&id](const Customer &customer) {
         return customer.id == id;
     };
     return state.customers.contains(id)
-            || std::any_of(ticket.customers.begin(), ticket.customers.end(), isIt);
+            || std::any_of(ticket.customers.begin(), ticket.customers.end(), matches);
 }
 
 bool hasZone(const StateInForce &state, const Ticket &ticket, const ZoneId &id)
 {
-    const auto isIt = [&id](const Zone &zone) {
+    const auto matches = [&id](const Zone &zone) {
         return zone.id == id;
     };
-    return state.zones.contains(id) || std::any_of(ticket.zones.begin(), ticket.zones.end(), isIt);
+    return state.zones.contains(id)
+            || std::any_of(ticket.zones.begin(), ticket.zones.end(), matches);
 }
 
 Result<TicketNumber> checkReferences(const StateInForce &state, const Ticket &ticket)
@@ -44,8 +45,8 @@
     std::set<std::string> models;
     for (const Adapter &adapter : ticket.adapters)
         models.insert(adapter.baseModel);
-    if (state.adapters.baseModelCount() + models.size() > mostBaseModels)
-        return invalid("more than " + std::to_string(mostBaseModels) + " base models");
+    if (state.adapters.baseModelCount() + models.size() > maxBaseModels)
+        return invalid("more than " + std::to_string(maxBaseModels) + " base models");
     for (const Upstream &upstream : ticket.upstreams) {
         if (!hasZone(state, ticket, upstream.zone))
             return invalid("upstream '" + upstream.id.value + "' names zone '" + upstream.zone.value
@@ -60,7 +61,7 @@
 {
     if (ticket.number.value != state.ticket.value + 1) {
         return Error{ ResultCode::TicketOutOfOrder,
-                      "ticket " + std::to_string(ticket.number.value) + " after ticket "
+                      "ticket " + std::to_string(ticket.number.value) + " does not follow ticket "
                               + std::to_string(state.ticket.value) };
     }
     Result<TicketNumber> checked = checkReferences(state, ticket);
--- a/packages/tickets/src/ticket_parser.cpp
+++ b/packages/tickets/src/ticket_parser.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr double mostTokens = 1e12;
-constexpr double mostSlots = 4096;
+constexpr double maxTokens = 1e12;
+constexpr double maxSlots = 4096;
 constexpr std::size_t hashLength = 64; // SHA-256 in hexadecimal
 
 TicketNumber readRecordTicket(JsonReader &reader, const RecordSource &source)
 {
-    const double number = reader.number("ticket", 0, mostTicketNumber, 0.0);
+    const double number = reader.number("ticket", 0, maxTicketNumber, 0.0);
     if (!source.isSnapshot && number > 0)
         reader.complain("ticket", "is not allowed here; a record's ticket is the one that sets it");
     return source.isSnapshot ? TicketNumber{ static_cast<std::uint64_t>(number) } : source.ticket;
@@ -24,8 +24,8 @@
     reader.allowOnly({ "ticket", "id", "rate", "burst", "weight", "services" });
     Customer customer;
     customer.id = CustomerId{ reader.text("id") };
-    customer.rate = TokenRate{ reader.number("rate", 0, mostTokens) };
-    customer.burst = Tokens{ static_cast<std::int64_t>(reader.number("burst", 0, mostTokens)) };
+    customer.rate = TokenRate{ reader.number("rate", 0, maxTokens) };
+    customer.burst = Tokens{ static_cast<std::int64_t>(reader.number("burst", 0, maxTokens)) };
     customer.weight = reader.number("weight", 0.01, 1000, 1.0);
     for (const std::string &service : reader.texts("services"))
         customer.services.emplace_back(service);
@@ -58,7 +58,7 @@
     const std::size_t at = adapter.ref.value.find('@');
     if (at == std::string::npos || at == 0 || at + 1 == adapter.ref.value.size())
         reader.complain("adapter", "must be written name@version");
-    if (adapter.ref.value.size() > longestAdapterRef)
+    if (adapter.ref.value.size() > maxAdapterRefLength)
         reader.complain("adapter", "must have at most 200 characters");
     adapter.customer = CustomerId{ reader.text("customer") };
     adapter.baseModel = reader.text("base");
@@ -81,11 +81,11 @@
     if (upstream.kind == UpstreamKind::Engine) {
         upstream.baseModel = reader.text("base");
         upstream.adapterSlots = static_cast<std::uint32_t>(
-                reader.number("adapter_slots", 1, mostSlots));
+                reader.number("adapter_slots", 1, maxSlots));
     } else {
         upstream.service = ServiceId{ reader.text("service") };
     }
-    upstream.batchSlots = static_cast<std::uint32_t>(reader.number("batch_slots", 1, mostSlots));
+    upstream.batchSlots = static_cast<std::uint32_t>(reader.number("batch_slots", 1, maxSlots));
     upstream.checksFencing = reader.flag("checks_fencing", false);
     upstream.isLeaving = reader.flag("leaving", false);
     upstream.ticket = readRecordTicket(reader, source);
@@ -120,14 +120,14 @@
         ticket.removedUpstreams.emplace_back(name);
 }
 
-constexpr double mostSecondsWithoutNews = 7 * 24 * 3600;
+constexpr double maxSecondsWithoutUpdate = 7 * 24 * 3600;
 
 FleetSettings readFleet(JsonReader &reader, const RecordSource &source)
 {
     reader.allowOnly({ "ticket", "longest_without_news" });
     FleetSettings fleet;
     fleet.longestWithoutNews = fromSeconds(
-            reader.number("longest_without_news", 0, mostSecondsWithoutNews));
+            reader.number("longest_without_news", 0, maxSecondsWithoutUpdate));
     fleet.ticket = readRecordTicket(reader, source);
     return fleet;
 }
@@ -161,20 +161,20 @@
     if (!json)
         return json.error();
 
-    std::string complaint;
-    JsonReader reader(json.value(), "", complaint);
+    std::string firstError;
+    JsonReader reader(json.value(), "", firstError);
     reader.allowOnly({ "ticket", "by", "why", "set", "remove" });
     Ticket ticket;
     ticket.number = TicketNumber{ static_cast<std::uint64_t>(
-            reader.number("ticket", 1, mostTicketNumber)) };
+            reader.number("ticket", 1, maxTicketNumber)) };
     ticket.by = reader.text("by");
     ticket.why = reader.text("why");
     JsonReader sets = reader.object("set");
     readSets(sets, RecordSource{ ticket.number, false }, ticket);
     JsonReader removals = reader.object("remove");
     readRemovals(removals, ticket);
-    if (!complaint.empty())
-        return Error{ ResultCode::TicketInvalid, complaint };
+    if (!firstError.empty())
+        return Error{ ResultCode::TicketInvalid, firstError };
     return ticket;
 }
 
--- a/packages/tickets/tests/adapter_table_test.cpp
+++ b/packages/tickets/tests/adapter_table_test.cpp
@@ -18,9 +18,9 @@
 
 } // namespace
 
-// Adapters are added, replaced and retired in random order for long enough that names are moved and
-// the index grows and shrinks; the table must at each moment say what a plain map says.
-TEST(AdapterTable, SaysWhatAMapSays)
+// Guards against wrong look-ups after the table has compacted its names, grown its index or freed
+// slots: random additions, replacements and removals are compared with a std::map after each step.
+TEST(AdapterTable, MatchesAMapUnderRandomChanges)
 {
     std::mt19937_64 random(1);
     AdapterTable table;
--- a/packages/tickets/tests/tickets_test.cpp
+++ b/packages/tickets/tests/tickets_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST(Tickets, ATicketPutsItsRecordsInForce)
+TEST(Tickets, TicketPutsItsRecordsInForce)
 {
     const StateInForce state = stateAfterFirst();
     const Result<const Customer *> customer = customerOf(state, key);
@@ -39,9 +39,9 @@
     EXPECT_FALSE(adapterFor(state, CustomerId{ "other" }, AdapterRef{ "routes@3" }));
 }
 
-// An operator publishes ticket 3 before ticket 2, or the platform serves an old value again.
-// Whoever asks which tickets are in force must never see the number fall.
-TEST(Tickets, NumbersNeitherSkipNorGoBack)
+// Guards against a ticket number in force that decreases or skips one: an operator publishes ticket
+// 3 before ticket 2, or the platform serves an old value again.
+TEST(Tickets, NumbersNeitherSkipNorDecrease)
 {
     StateInForce state = stateAfterFirst();
     Ticket ticket = parseTicket(firstTicket).value();
@@ -51,9 +51,9 @@
     EXPECT_EQ(state.ticket, TicketNumber{ 1 });
 }
 
-// A ticket names a customer that nobody has created. Half of it in force would leave a key without
-// an owner, so nothing of it is.
-TEST(Tickets, ABadTicketChangesNothing)
+// Guards against applying half of an invalid ticket: it refers to an unknown customer, and none of
+// its records may come into force.
+TEST(Tickets, InvalidTicketChangesNothing)
 {
     StateInForce state = stateAfterFirst();
     const std::string bad = R"({ "ticket": 2, "by": "b", "why": "w", "set": {
