--- a/packages/units/include/azurewell/units/deadline_queue.h
+++ b/packages/units/include/azurewell/units/deadline_queue.h
@@ -9,14 +9,14 @@
 
 namespace azurewell {
 
-/// Keys in the order of their deadlines. Each key has one deadline at the most.
+/// Keys ordered by deadline. Each key has at most one deadline.
 ///
-/// A look at a queue without due keys costs one comparison, however many keys wait.
+/// Polling a queue without due keys costs one comparison, whatever its size.
 template <typename Key>
 class DeadlineQueue
 {
 public:
-    /// Gives \a key the deadline \a at in place of an earlier one.
+    /// Sets the deadline of \a key to \a at, replacing its previous one.
     void set(const Key &key, Instant at)
     {
         const auto [found, isNew] = this->deadlines.try_emplace(key, at);
@@ -27,7 +27,7 @@
         this->order.emplace(at, key);
     }
 
-    /// Gives \a key the deadline \a at unless it has an earlier one.
+    /// Sets the deadline of \a key to \a at unless it already has an earlier one.
     void bringForward(const Key &key, Instant at)
     {
         const auto found = this->deadlines.find(key);
@@ -44,7 +44,7 @@
         this->deadlines.erase(found);
     }
 
-    /// Takes out the key with the earliest deadline if that is not after \a now.
+    /// Removes and returns the key with the earliest deadline if that is not after \a now.
     std::optional<Key> takeDue(Instant now)
     {
         if (this->order.empty() || this->order.begin()->first > now)
--- a/packages/units/include/azurewell/units/endpoint.h
+++ b/packages/units/include/azurewell/units/endpoint.h
@@ -6,7 +6,7 @@
 
 namespace azurewell {
 
-/// IP and port. Names are not resolved: hosts talk by IP numbers.
+/// An IP address and port. Host names are not resolved.
 struct Endpoint
 {
     std::string ip;
--- a/packages/units/include/azurewell/units/result.h
+++ b/packages/units/include/azurewell/units/result.h
@@ -10,14 +10,14 @@
 
 namespace azurewell {
 
-/// What went wrong, for a person: a numbered code and where.
+/// An error for operators: a numbered code and where it occurred.
 struct Error
 {
     ResultCode code = ResultCode::InternalError;
-    std::string detail; ///< File, line or key, what is wrong, what is allowed.
+    std::string detail; ///< File, line or key, the reason and what is allowed.
 };
 
-/// A value or an Error; nothing is thrown. Check with `if (!result)` before `.value()`.
+/// A value or an Error, without exceptions. Check with `if (!result)` before `.value()`.
 template <typename T>
 using Result = boost::outcome_v2::basic_result<T, Error, boost::outcome_v2::policy::all_narrow>;
 
--- a/packages/units/include/azurewell/units/result_code.h
+++ b/packages/units/include/azurewell/units/result_code.h
@@ -6,12 +6,12 @@
 
 namespace azurewell {
 
-/// Every way a request, a ticket or a start can end. The numbers are stable: callers and operators
+/// The outcomes of requests, tickets and start-up. The numbers are stable: callers and operators
 /// look them up in docs/RESULT-CODES.md, which a test compares with resultCodeTable().
 enum class ResultCode : std::uint16_t {
     Ok = 0,
 
-    // 1xx: the request itself is at fault.
+    // 1xx: the request itself is invalid.
     MalformedRequest = 100,
     MalformedBody = 101,
     BodyTooLarge = 102,
@@ -23,7 +23,7 @@
     LengthRequired = 108,
     TooManyConnections = 109,
 
-    // 2xx: who asks, and for what.
+    // 2xx: authentication and authorization.
     KeyMissing = 200,
     KeyUnknown = 201,
     KeyWithdrawn = 202,
@@ -52,7 +52,7 @@
     RequestQuarantined = 408,
     UpstreamLimited = 409,
 
-    // 5xx: calls that must not be repeated.
+    // 5xx: calls that must not run twice.
     OutcomeUnknown = 500,
     CallInProgress = 501,
     CallAlreadyDone = 502,
@@ -75,30 +75,29 @@
     MessageInvalid = 705,
 };
 
-/// Whether the work of a refused request can have run at an upstream.
+/// Whether a refused request may have run at an upstream.
 enum class RunState : std::uint8_t {
-    NotRun,  ///< It certainly did not run; sending it again is safe.
+    NotRun,  ///< It did not run, so that a retry is safe.
     Unknown, ///< It may have run.
     Ran,     ///< It ran.
 };
 
-/// One row of the table of result codes.
+/// An entry of the table of result codes.
 struct ResultCodeInfo
 {
     ResultCode code;
-    std::string_view
-            name;   ///< snake_case; the value of metric labels and of the body's `error.type`.
-    int httpStatus; ///< The status a caller sees.
+    std::string_view name;    ///< In snake_case, for metric labels and the body's `error.type`.
+    int httpStatus;           ///< Status of the response to the caller.
     std::string_view message; ///< One sentence for a caller.
 };
 
-/// All codes in rising order.
+/// All codes in ascending order.
 std::span<const ResultCodeInfo> resultCodeTable();
 
-/// The row of \a code.
+/// The entry of \a code; that of InternalError for an unknown code.
 const ResultCodeInfo &infoOf(ResultCode code);
 
-/// `not_run`, `outcome_unknown` or `ran`, as refusals state it.
+/// `not_run`, `outcome_unknown` or `ran`, as in the body of a refusal.
 std::string_view nameOf(RunState state);
 
 } // namespace azurewell
--- a/packages/units/include/azurewell/units/strong_id.h
+++ b/packages/units/include/azurewell/units/strong_id.h
@@ -9,8 +9,9 @@
 
 namespace azurewell {
 
-/// An identifier that cannot be mixed up with one of another kind. \a Tag is an empty type that
-/// names the kind; \a Value is the representation (a string for names, an integer for numbers).
+/// An identifier that can't be confused with one of another kind. \a Tag is an empty type that
+/// identifies the kind; \a Value is the representation (a string for names, an integer for
+/// numbers).
 template <typename Tag, typename Value>
 struct StrongId
 {
--- a/packages/units/include/azurewell/units/time.h
+++ b/packages/units/include/azurewell/units/time.h
@@ -6,12 +6,12 @@
 
 namespace azurewell {
 
-/// A length of time in microseconds. Used in arithmetic and as a configured limit; state keeps an
-/// Instant (the deadline) instead, so that a late reader cannot restart a period by mistake.
+/// A duration in microseconds, for arithmetic and configured limits. State stores deadlines as
+/// Instant, so that a late reader can't restart a period by mistake.
 using Span = std::chrono::duration<std::int64_t, std::micro>;
 
-/// A point on the monotonic clock of one host, in microseconds from an arbitrary zero. Instants of
-/// different hosts must never be compared: a message carries spans, and each side counts from its
+/// A point in time on one host's monotonic clock, in microseconds from an arbitrary zero. Instants
+/// of different hosts must not be compared: messages carry spans, which each side applies to its
 /// own clock.
 struct Instant
 {
@@ -39,7 +39,7 @@
     return static_cast<double>(span.count()) / 1e6;
 }
 
-/// \a seconds as a span, rounded towards zero to a microsecond.
+/// \a seconds as a span, truncated to microseconds.
 constexpr Span fromSeconds(double seconds)
 {
     return Span{ static_cast<std::int64_t>(seconds * 1e6) };
--- a/packages/units/src/result_code.cpp
+++ b/packages/units/src/result_code.cpp
@@ -95,13 +95,13 @@
     ResultCodeInfo{ MessageInvalid, "message_invalid", 500, "The message cannot be decoded." },
 };
 
-constexpr bool isRising()
+constexpr bool isAscending()
 {
     return std::is_sorted(
             table.begin(), table.end(),
             [](const ResultCodeInfo &a, const ResultCodeInfo &b) { return a.code < b.code; });
 }
-static_assert(isRising(), "infoOf() searches the table by halves");
+static_assert(isAscending(), "infoOf() requires ascending codes for its binary search");
 
 } // namespace
 
--- a/packages/units/tests/deadline_queue_test.cpp
+++ b/packages/units/tests/deadline_queue_test.cpp
@@ -16,7 +16,7 @@
     return taken;
 }
 
-TEST(DeadlineQueueTest, TakesWhatIsDueInOrder)
+TEST(DeadlineQueueTest, TakesDueKeysInOrder)
 {
     DeadlineQueue<std::string> queue;
     queue.set("later", Instant{ 30 });
@@ -27,8 +27,8 @@
     EXPECT_EQ(queue.size(), 1U);
 }
 
-// A key that was moved comes twice, or at its old deadline.
-TEST(DeadlineQueueTest, AMovedKeyComesOnce)
+// Guards against returning a rescheduled key twice, or at its old deadline.
+TEST(DeadlineQueueTest, RescheduledKeyIsTakenOnce)
 {
     DeadlineQueue<std::string> queue;
     queue.set("a", Instant{ 10 });
@@ -38,7 +38,7 @@
     EXPECT_EQ(takeAll(queue, 99), std::vector<std::string>{});
 }
 
-TEST(DeadlineQueueTest, BringingForwardNeverPutsOff)
+TEST(DeadlineQueueTest, BringForwardNeverPostpones)
 {
     DeadlineQueue<std::string> queue;
     queue.bringForward("a", Instant{ 20 });
@@ -49,7 +49,7 @@
     EXPECT_EQ(takeAll(queue, 30), std::vector<std::string>{ "b" });
 }
 
-TEST(DeadlineQueueTest, AnErasedKeyDoesNotCome)
+TEST(DeadlineQueueTest, ErasedKeyIsNotTaken)
 {
     DeadlineQueue<std::string> queue;
     queue.set("a", Instant{ 10 });
