--- a/packages/charts/include/azurewell/charts/known_charts.h
+++ b/packages/charts/include/azurewell/charts/known_charts.h
@@ -8,7 +8,7 @@
 
 namespace azurewell {
 
-/// The life of the process (charts/process.scxml).
+/// The process lifecycle (charts/process.scxml).
 enum class ProcessState : std::uint8_t { Starting, Serving, Draining, Stopped };
 enum class ProcessEvent : std::uint8_t { StateInForce, StopAsked, LastRequestDone };
 inline constexpr std::array<std::string_view, 4> processStateNames{ "starting", "serving",
@@ -16,7 +16,7 @@
 inline constexpr std::array<std::string_view, 3> processEventNames{ "state.in.force", "stop.asked",
                                                                     "last.request.done" };
 
-/// What a host knows of an upstream (charts/upstream.scxml).
+/// An upstream, as seen by one host (charts/upstream.scxml).
 enum class UpstreamState : std::uint8_t { Unknown, Live, Ejected, Probing, Leaving };
 enum class UpstreamEvent : std::uint8_t {
     Answered,
@@ -50,7 +50,7 @@
     "unload.done",  "unload.failed", "backoff.over", "engine.restarted"
 };
 
-/// Another host (charts/peer.scxml).
+/// Another host, as seen by this one (charts/peer.scxml).
 enum class PeerState : std::uint8_t { Unheard, Alive, Suspect, Leaving, Gone };
 enum class PeerEvent : std::uint8_t {
     Heartbeat,
@@ -68,7 +68,7 @@
     "unlisted",  "listed",           "suspicion.over"
 };
 
-/// The charts a host runs by.
+/// All charts of a host.
 struct KnownCharts
 {
     Chart process;
--- a/packages/charts/src/chart.cpp
+++ b/packages/charts/src/chart.cpp
@@ -89,7 +89,7 @@
 
     for (const std::string &state : raw.states) {
         if (!indexOf(states, state))
-            return invalid(0, "state '" + state + "' is not one the program knows");
+            return invalid(0, "state '" + state + "' is unknown");
     }
     for (const std::string_view state : states) {
         if (!indexOf(raw.states, state))
--- a/packages/charts/tests/charts_test.cpp
+++ b/packages/charts/tests/charts_test.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST(Charts, TheShippedChartsLoad)
+TEST(Charts, ShippedChartsLoad)
 {
     const Result<KnownCharts> charts = loadKnownCharts(AZUREWELL_CHARTS_DIR);
     ASSERT_TRUE(charts) << charts.error().detail;
@@ -22,7 +22,7 @@
               ProcessState::Draining);
 }
 
-TEST(Charts, EditingTheFileChangesBehaviour)
+TEST(Charts, TransitionsComeFromTheFile)
 {
     const char *toggles
             = R"(<scxml initial="off"><state id="off"><transition event="press" target="on"/></state>
@@ -38,7 +38,7 @@
     EXPECT_EQ(advance(sticking.value(), 1, 0), 1);
 }
 
-TEST(Charts, AFileThatLacksAStateIsRefusedWithItsName)
+TEST(Charts, MissingStateIsRejectedWithItsName)
 {
     const Result<Chart> chart = parseChart(R"(<scxml initial="off"><state id="off"/></scxml>)",
                                            states, events);
