--- a/packages/http/include/azurewell/http/caller_connection.h
+++ b/packages/http/include/azurewell/http/caller_connection.h
@@ -11,29 +11,32 @@
 
 namespace azurewell {
 
-/// How long a caller may take, and stay idle.
-struct CallerPatience
+/// Timeouts of a caller's connection.
+struct CallerTimeouts
 {
+    /// From the previous response, or from the start, until the next request is complete. Applies
+    /// once its first byte has arrived.
     Span head{};
+    /// From the previous response, or from the start, until the first byte of the next request.
     Span idle{};
 };
 
-/// One connection of a caller; one request at a time.
+/// One connection of a caller. Processes one request at a time.
 class CallerConnection
 {
 public:
     struct Handlers
     {
-        std::function<void()> onRequest;                 ///< request() and body() are whole.
-        std::function<void(const Error &)> onBadRequest; ///< Answer it; the connection ends then.
-        std::function<void()> onLeft;                    ///< The caller has closed.
-        std::function<void()> onDrained;                 ///< All that was written is sent.
+        std::function<void()> onRequest;                 ///< request() and body() are complete.
+        std::function<void(const Error &)> onBadRequest; ///< Answer it; the connection then closes.
+        std::function<void()> onDisconnected;            ///< The caller has closed the connection.
+        std::function<void()> onDrained;                 ///< All written bytes have been sent.
     };
 
     CallerConnection(UniqueFd descriptor, const RequestLimits &limits, Handlers handlers,
                      Instant now);
 
-    const RequestLine &request() const
+    const RequestHead &request() const
     {
         return this->reader.head();
     }
@@ -42,23 +45,23 @@
         return this->reader.body();
     }
 
-    /// Writes a whole response and goes on to the next request.
+    /// Writes a complete response and starts to read the next request.
     void answer(int status, std::string_view reason, const std::vector<HttpHeader> &headers,
                 std::string_view body, Instant now);
 
-    /// Begins a response in chunks; complete() or breakOff() ends it.
+    /// Starts a chunked response; complete() or abort() ends it.
     void beginChunks(int status, std::string_view reason, const std::vector<HttpHeader> &headers);
     void sendChunk(std::string_view data);
     void complete(Instant now);
 
-    /// Ends a response that has begun so that it cannot be taken as whole.
-    void breakOff();
+    /// Resets the connection, so that the caller cannot take a partial response for a complete one.
+    void abort();
 
-    /// The next response is the last one; an idle connection is closed at once where \a isNow.
+    /// Closes the connection after the next response; at once if it is idle and \a isNow is set.
     void close(bool isNow);
 
-    /// Whether the deadline for a head or for the next request has passed.
-    bool isLate(const CallerPatience &patience, Instant now) const;
+    /// Whether a timeout has expired while waiting for a request.
+    bool isTimedOut(const CallerTimeouts &timeouts, Instant now) const;
 
     bool isAnswering() const
     {
@@ -72,23 +75,24 @@
     {
         return this->stream->unsentBytes();
     }
-    /// The connection can be destroyed: the caller has left, or had time to read the last answer.
+    /// Whether the connection can be destroyed: the caller has disconnected, or the linger time
+    /// after the last response has passed.
     bool isFinished(Instant now) const;
 
 private:
     void receive();
-    void drained();
-    void next(Instant now);
+    void handleDrained();
+    void startNextRequest(Instant now);
     bool keepsConnection() const;
 
     RequestLimits limits;
     Handlers handlers;
     RequestReader reader;
     std::unique_ptr<TcpStream> stream;
-    Instant quietSince;
+    Instant idleSince;
     bool isInRequest = false;
     bool isClosing = false;
-    bool isLeft = false;
+    bool isDisconnected = false;
     bool isContinueSent = false;
 };
 
--- a/packages/http/include/azurewell/http/clock.h
+++ b/packages/http/include/azurewell/http/clock.h
@@ -8,9 +8,9 @@
 
 namespace azurewell {
 
-/// The monotonic clock of this host. It goes on while the process is stopped and while the machine
-/// is suspended (CLOCK_MONOTONIC, std::chrono's steady clock, does not), so a process that wakes
-/// late sees that its leases have ended.
+/// The monotonic clock of this host. It advances while the process is stopped and while the machine
+/// is suspended (CLOCK_MONOTONIC, which std::chrono::steady_clock uses, does not), so a process
+/// that resumes late sees that its leases have expired.
 inline Instant monotonicNow()
 {
     timespec sinceBoot{};
@@ -20,7 +20,8 @@
     return Instant{ sinceBoot.tv_sec * microsInSecond + sinceBoot.tv_nsec / nanosInMicro };
 }
 
-/// Milliseconds of wall time since 1970: an incarnation that rises with each start of a host.
+/// Milliseconds of wall time since 1970. Used as incarnation, which increases with each start of a
+/// host.
 inline std::uint64_t wallMillis()
 {
     const auto since1970 = std::chrono::system_clock::now().time_since_epoch();
--- a/packages/http/include/azurewell/http/listen_socket.h
+++ b/packages/http/include/azurewell/http/listen_socket.h
@@ -33,7 +33,7 @@
     {
         return this->fd;
     }
-    /// Hands the descriptor to the caller, who closes it.
+    /// Passes ownership of the descriptor to the caller.
     int release()
     {
         return std::exchange(this->fd, -1);
@@ -43,8 +43,9 @@
     int fd = -1;
 };
 
-/// Opens a listening TCP socket that several threads may share (SO_REUSEPORT): the kernel spreads
-/// connections over them. Errors: SettingsInvalid where the address cannot be bound.
+/// Opens a listening TCP socket with SO_REUSEPORT: several threads can listen on the same address,
+/// and the kernel distributes connections over them. Errors: SettingsInvalid if the address cannot
+/// be bound.
 Result<UniqueFd> openListenSocket(const Endpoint &endpoint);
 
 } // namespace azurewell
--- a/packages/http/include/azurewell/http/message.h
+++ b/packages/http/include/azurewell/http/message.h
@@ -7,7 +7,7 @@
 
 namespace azurewell {
 
-/// One header line, as it was received.
+/// One header line as received.
 struct HttpHeader
 {
     std::string name;
@@ -15,14 +15,14 @@
 };
 
 /// The head of a request.
-struct RequestLine
+struct RequestHead
 {
     std::string method;
     std::string target; ///< Path and query, unchanged.
     std::vector<HttpHeader> headers;
     bool keepsConnection = true;
     bool expectsContinue = false;
-    bool hasBody = false; ///< A length or chunks were announced, be it a length of 0.
+    bool hasBody = false; ///< A length (even 0) or chunked coding was announced.
 };
 
 /// The head of a response.
@@ -32,31 +32,32 @@
     std::string reason;
     std::vector<HttpHeader> headers;
     bool keepsConnection = true;
-    bool endsWithConnection = false; ///< No length, no chunks: the end of the connection ends it.
+    bool endsAtClose = false; ///< No length, no chunks: the body ends at the close.
 };
 
-/// The first header called \a name (letter case is ignored); empty where there is none.
+/// The value of the first header called \a name, ignoring letter case; empty if there is none.
 std::string_view headerValue(const std::vector<HttpHeader> &headers, std::string_view name);
 
 /// How many headers are called \a name.
 std::size_t headerCount(const std::vector<HttpHeader> &headers, std::string_view name);
 
-/// Whether two header names are the same; letter case is ignored.
+/// Whether two header names are equal, ignoring letter case.
 bool isSameHeaderName(std::string_view a, std::string_view b);
 
-/// Headers of \a all that are meant for the next hop only (RFC 9110, 7.6.1) are left out, and so
-/// are the length and coding of the body, which each side states for itself.
+/// Returns \a all without hop-by-hop headers (RFC 9110, 7.6.1) and without the length and transfer
+/// coding of the body, which each hop sets itself.
 std::vector<HttpHeader> endToEndHeaders(const std::vector<HttpHeader> &all);
 
-/// What a status means, in the words of RFC 9110.
+/// The reason phrase of a status as in RFC 9110; "Status" for one that is not in the table.
 const char *reasonPhrase(int status);
 
-/// A whole request with a body of known length. The length is left out where \a hasBody is false.
+/// A complete request with a body of known length. Content-Length is omitted if \a hasBody is
+/// false.
 std::string requestBytes(std::string_view method, std::string_view target,
                          const std::vector<HttpHeader> &headers, std::string_view body,
                          bool hasBody);
 
-/// The head of a response. \a contentLength below 0 announces chunks instead.
+/// The head of a response. A negative \a contentLength announces chunked coding instead.
 std::string responseHeadBytes(int status, std::string_view reason,
                               const std::vector<HttpHeader> &headers, std::int64_t contentLength,
                               bool keepsConnection);
--- a/packages/http/include/azurewell/http/readers.h
+++ b/packages/http/include/azurewell/http/readers.h
@@ -16,12 +16,12 @@
     std::uint64_t bodyBytes = 4ULL * 1024 * 1024;
 };
 
-/// Reads one request from bytes that arrive in pieces.
+/// Incremental parser for one request.
 ///
-/// A head that two readers could take differently (two lengths, a length beside chunks, a transfer
-/// coding that is not known, folded lines) would let a caller hide a second request inside the
-/// first, which would then run without its key. Such a head is an error, and its connection must
-/// be closed.
+/// Rejects heads with ambiguous framing (two lengths, a length together with chunked coding, an
+/// unknown transfer coding, folded lines), because they allow request smuggling: a second request
+/// hidden inside the first would run without its key being checked. After such an error the
+/// connection must be closed.
 class RequestReader
 {
 public:
@@ -30,13 +30,14 @@
     RequestReader(RequestReader &&) noexcept;
     RequestReader &operator=(RequestReader &&) noexcept;
 
-    /// Takes bytes from the front of \a buffer. True where the request is whole; what is left in
-    /// \a buffer belongs to the next one. Errors: MalformedRequest, HeadTooLarge, BodyTooLarge.
+    /// Consumes bytes from the front of \a buffer. Returns true once the request is complete; the
+    /// rest of \a buffer belongs to the next request. Errors: MalformedRequest, HeadTooLarge,
+    /// BodyTooLarge.
     Result<bool> read(std::string &buffer);
 
     bool isHeadRead() const;
-    bool hasBegun() const;           ///< A byte of the request has arrived.
-    const RequestLine &head() const; ///< Valid once isHeadRead().
+    bool hasBegun() const;           ///< At least one byte of the request has arrived.
+    const RequestHead &head() const; ///< Valid once isHeadRead().
     std::string &body();
 
 private:
@@ -44,26 +45,27 @@
     std::unique_ptr<Impl> impl;
 };
 
-/// Reads one response from bytes that arrive in pieces.
+/// Incremental parser for one response.
 class ResponseReader
 {
 public:
-    /// \a isHeadOnly: the response to a HEAD request, which has no body whatever its length says.
+    /// \a isHeadOnly: the response to a HEAD request, which has no body even if it states a length.
     explicit ResponseReader(bool isHeadOnly);
     ~ResponseReader();
     ResponseReader(ResponseReader &&) noexcept;
     ResponseReader &operator=(ResponseReader &&) noexcept;
 
-    /// Takes bytes from the front of \a buffer. True where the response is whole. Errors:
-    /// UpstreamFailed where the bytes are no response.
+    /// Consumes bytes from the front of \a buffer. Returns true once the response is complete.
+    /// Errors: UpstreamFailed if the bytes are not a valid response.
     Result<bool> read(std::string &buffer);
 
-    /// The connection ended in an orderly way. True where that completes the response.
+    /// To be called when the connection has closed in an orderly way. Returns true if that
+    /// completes the response.
     bool finish();
 
     bool isHeadRead() const;
     const ResponseHead &head() const; ///< Valid once isHeadRead().
-    std::string takeBody();           ///< What has arrived of the body since the last call.
+    std::string takeBody();           ///< The part of the body that arrived since the last call.
 
 private:
     struct Impl;
--- a/packages/http/include/azurewell/http/tcp_stream.h
+++ b/packages/http/include/azurewell/http/tcp_stream.h
@@ -13,31 +13,31 @@
 
 /// How a connection ended.
 enum class StreamEnd : std::uint8_t {
-    Finished,  ///< The other side closed it in an orderly way.
-    Broken,    ///< Reset, or an error of the network.
-    NotOpened, ///< It could not be opened; nothing was sent.
+    Finished,      ///< Closed by the peer in an orderly way.
+    Broken,        ///< Reset by the peer, or a network error.
+    ConnectFailed, ///< Could not be opened; nothing was sent.
 };
 
 /// One TCP connection on the thread's event loop.
 ///
-/// QTcpSocket reports a reset as an orderly end: it maps ECONNRESET to a read of 0 bytes. A
-/// response without a length ends with its connection, so with QTcpSocket one that was reset
-/// halfway would be passed on as whole. This class keeps the two apart.
+/// QTcpSocket reports a reset as an orderly close: it maps ECONNRESET to a read of 0 bytes. A
+/// response without a length ends when its connection closes, so with QTcpSocket a response that
+/// was reset halfway would be forwarded as complete. This class distinguishes the two.
 class TcpStream
 {
 public:
     struct Handlers
     {
         std::function<void()> onOpened;         ///< May be empty.
-        std::function<void()> onBytes;          ///< received() has grown.
+        std::function<void()> onBytes;          ///< New bytes are in received().
         std::function<void(StreamEnd)> onEnded; ///< Called once, not after close().
-        std::function<void()> onDrained;        ///< May be empty: all that was written is sent.
+        std::function<void()> onDrained;        ///< May be empty: all written bytes have been sent.
     };
 
-    /// Opens a connection. A failure is reported through onEnded, never from here.
+    /// Opens a connection. A failure is reported through onEnded, never from within open().
     static std::unique_ptr<TcpStream> open(const Endpoint &to, Handlers handlers);
 
-    /// Takes a connection that was accepted.
+    /// Takes ownership of an accepted connection.
     static std::unique_ptr<TcpStream> adopt(UniqueFd descriptor, Handlers handlers);
 
     ~TcpStream();
@@ -45,9 +45,9 @@
     TcpStream &operator=(const TcpStream &) = delete;
 
     void write(std::string_view bytes);
-    void setHandlers(Handlers next);
+    void setHandlers(Handlers newHandlers);
 
-    /// Bytes that have arrived and were not taken; the user removes what it takes.
+    /// Bytes received and not yet consumed; the user erases what it consumes.
     std::string &received()
     {
         return this->input;
@@ -56,38 +56,38 @@
     {
         return this->output.size();
     }
-    /// Whether a byte of what was written has been given to the kernel.
+    /// Whether at least one written byte has been passed to the kernel.
     bool hasSent() const
     {
-        return this->isSentFrom;
+        return this->hasSentBytes;
     }
     bool isOpen() const
     {
         return this->descriptor.get() >= 0 && !this->isConnecting;
     }
 
-    /// Reading stops while \a paused: the other side is slowed down by its full window.
+    /// Stops reading while \a paused; TCP flow control then slows the sender down.
     void pauseReading(bool paused);
 
-    /// No more is written; the other side sees an orderly end.
+    /// Closes the write direction; the peer sees an orderly close.
     void shutdownWriting();
 
-    /// Closes with a reset, so that the other side cannot take what it got as whole.
+    /// Closes with a reset, so that the peer cannot take a partial message for a complete one.
     void abort();
 
 private:
-    /// A notifier may be in the middle of reporting when its stream is closed, so it goes later.
+    /// Defers deletion: the stream may be closed from within the notifier's own signal.
     struct NotifierDeleter
     {
         void operator()(QSocketNotifier *notifier) const;
     };
 
     TcpStream() = default;
-    void watch();
-    void readable();
-    void writable();
+    void createNotifiers();
+    void handleReadable();
+    void handleWritable();
     void flush();
-    void end(StreamEnd how);
+    void reportEnd(StreamEnd how);
 
     UniqueFd descriptor;
     Handlers handlers;
@@ -96,11 +96,11 @@
     std::string input;
     std::string output;
     bool isConnecting = false;
-    bool isSentFrom = false;
+    bool hasSentBytes = false;
     bool isEnded = false;
-    /// Set by the destructor, so that a member function notices that a handler destroyed the
+    /// Set by the destructor, so that a member function can detect that a handler has destroyed the
     /// object.
-    std::shared_ptr<bool> isGone = std::make_shared<bool>(false);
+    std::shared_ptr<bool> isDestroyed = std::make_shared<bool>(false);
 };
 
 /// Accepts connections on a listening socket.
@@ -110,10 +110,10 @@
     TcpAcceptor(UniqueFd listening, std::function<void(UniqueFd)> onAccepted);
 
 private:
-    void acceptWaiting();
+    void acceptPending();
 
     UniqueFd descriptor;
-    std::function<void(UniqueFd)> accepted;
+    std::function<void(UniqueFd)> handler;
     QSocketNotifier notifier;
 };
 
--- a/packages/http/include/azurewell/http/upstream_connection.h
+++ b/packages/http/include/azurewell/http/upstream_connection.h
@@ -11,54 +11,55 @@
 
 namespace azurewell {
 
-/// Why an exchange with an upstream ended without a whole response.
+/// Why an exchange with an upstream ended without a complete response.
 enum class ExchangeFailure : std::uint8_t {
-    NotSent, ///< No byte of the request left this host: it cannot have run.
-    CutOff,  ///< The connection ended before the response did; the request may have run.
-    Garbled, ///< What came is no response; the request may have run.
+    NotSent,   ///< No byte of the request was sent: it cannot have run.
+    CutOff,    ///< The connection closed before the end of the response; the request may have run.
+    Malformed, ///< The bytes received are not a valid response; the request may have run.
 };
 
-/// What the user of an exchange is told. Each may destroy the exchange's user, not the connection.
+/// Callbacks of an exchange. Each may destroy the object that started the exchange, but not the
+/// connection.
 struct ExchangeHandlers
 {
     std::function<void(const ResponseHead &)> onHead;
     std::function<void(std::string)> onBody;
     std::function<void()> onComplete;
     std::function<void(ExchangeFailure)> onFailure;
-    /// Whether a response with this head answers the request. One that doesn't is dropped, and the
-    /// next one on the connection is awaited: an upstream may send a response twice, and the second
-    /// copy then comes in front of the response to the following request.
-    std::function<bool(const ResponseHead &)> isOwn;
+    /// Returns whether a response with this head answers the request. One that doesn't is discarded
+    /// and the next one on the connection is read: an upstream may send a response twice, and the
+    /// duplicate then precedes the response to the following request.
+    std::function<bool(const ResponseHead &)> matchesRequest;
 };
 
-/// One connection to an upstream; one exchange at a time.
+/// One connection to an upstream. Carries one exchange at a time.
 class UpstreamConnection
 {
 public:
-    /// \a onIdle is called when a whole response has been read and the connection can be used
-    /// again; \a onClosed when it cannot be used any more. The connection may be destroyed in both.
-    /// Nothing is sent on a connection that has not opened at \a openBy.
-    UpstreamConnection(const Endpoint &to, Instant openBy, std::function<void()> onIdle,
+    /// \a onIdle is called when a complete response has been read and the connection can be reused;
+    /// \a onClosed when it can no longer be used. Both may destroy the connection. Nothing is sent
+    /// on a connection that is not open by \a connectDeadline.
+    UpstreamConnection(const Endpoint &to, Instant connectDeadline, std::function<void()> onIdle,
                        std::function<void()> onClosed);
 
     /// Sends \a request. \a isHeadOnly: it is a HEAD request.
-    void begin(const std::string &request, bool isHeadOnly, ExchangeHandlers handlers);
+    void startExchange(const std::string &request, bool isHeadOnly, ExchangeHandlers handlers);
 
-    /// Ends the exchange and the connection; no handler is called any more.
+    /// Ends the exchange and closes the connection; no exchange handler is called afterwards.
     void abandon();
 
-    /// The connection could not be opened in time: the request was not sent.
-    void giveUpOpening();
+    /// Closes a connection that did not open in time and reports its request as not sent.
+    void failConnect();
 
-    /// Stops reading while the receiver of the response is slower than the upstream.
+    /// Stops reading while \a paused, for a receiver that is slower than the upstream.
     void pauseReading(bool paused)
     {
         this->stream->pauseReading(paused);
     }
 
-    bool isOpeningLate(Instant now) const
+    bool isConnectOverdue(Instant now) const
     {
-        return !this->isOpen() && now >= this->openBy;
+        return !this->isOpen() && now >= this->connectDeadline;
     }
     bool isBusy() const
     {
@@ -68,10 +69,11 @@
     {
         return this->stream->isOpen();
     }
-    Span idleLimit() const
+    /// The keep-alive timeout that the upstream states; 0: not stated.
+    Span keepAliveTimeout() const
     {
         return this->keepAlive;
-    } ///< As the upstream states it; 0: not stated.
+    }
 
 private:
     struct Exchange
@@ -79,32 +81,32 @@
         ExchangeHandlers handlers;
         ResponseReader reader{ false };
         bool isHeadOnly = false;
-        bool isHeadPassed = false;
-        bool isForeign = false; ///< The response being read answers another request.
+        bool isHeadDelivered = false;
+        bool isUnrelated = false; ///< The current response is interim or to another request.
     };
 
-    void opened();
+    void handleOpened();
     void receive();
-    bool readOne();
-    void passHead();
+    bool readResponse();
+    void deliverHead();
     void complete();
-    void ended(StreamEnd how);
+    void handleEnd(StreamEnd how);
     void fail(ExchangeFailure failure);
 
-    Instant openBy;
+    Instant connectDeadline;
     std::unique_ptr<TcpStream> stream;
     std::unique_ptr<Exchange> exchange;
-    std::function<void()> idle;
-    std::function<void()> closed;
+    std::function<void()> idleHandler;
+    std::function<void()> closedHandler;
     Span keepAlive{};
     bool isClosed = false;
     bool keepsConnection = true;
-    std::shared_ptr<bool> isGone = std::make_shared<bool>(false);
+    std::shared_ptr<bool> isDestroyed = std::make_shared<bool>(false);
 
 public:
     ~UpstreamConnection()
     {
-        *this->isGone = true;
+        *this->isDestroyed = true;
     }
     UpstreamConnection(const UpstreamConnection &) = delete;
     UpstreamConnection &operator=(const UpstreamConnection &) = delete;
--- a/packages/http/include/azurewell/http/upstream_connections.h
+++ b/packages/http/include/azurewell/http/upstream_connections.h
@@ -8,35 +8,37 @@
 
 namespace azurewell {
 
-/// Connections within a region open in a few ms. One that takes longer than this leads to nobody,
-/// or its first packet was lost, which is sent again only after a second.
-inline constexpr Span openingPatience = std::chrono::milliseconds(400);
+/// Connections within a region open in a few ms. One that takes longer than this has no listening
+/// peer, or its SYN was lost, which TCP resends only after 1 s.
+inline constexpr Span defaultConnectTimeout = std::chrono::milliseconds(400);
 
-/// The connections of this host to all upstreams. A connection that has become idle is used again.
+/// The pool of connections from this host to all upstreams. Idle connections are reused.
 class UpstreamConnections
 {
 public:
-    /// The handle of an exchange under way.
+    /// Handle of an exchange in progress.
     using Exchange = std::uint64_t;
 
-    /// Sends \a request to \a to on an idle connection or a new one, which has to open within
-    /// \a openWithin. Handlers are never called from within start().
+    /// Sends \a request to \a to on an idle connection, or on a new one that must open within
+    /// \a connectTimeout. Handlers are never called from within start().
     Exchange start(const Endpoint &to, const std::string &request, bool isHeadOnly,
-                   ExchangeHandlers handlers, Instant now, Span openWithin = openingPatience);
+                   ExchangeHandlers handlers, Instant now,
+                   Span connectTimeout = defaultConnectTimeout);
 
-    /// Ends an exchange with its connection, so that the upstream notices that nobody waits.
+    /// Ends an exchange and closes its connection, so that the upstream can stop processing the
+    /// request.
     void cancel(Exchange exchange);
 
     void pauseReading(Exchange exchange, bool paused);
 
-    /// Closes connections that have been idle for so long that the upstream may close them just as
-    /// the next request is sent: that request's outcome would be unknown. Gives up those that do
-    /// not open: an upstream that is switched off answers nothing, and the request can go
-    /// elsewhere.
-    void closeLate(Instant now);
+    /// Closes connections that have been idle for so long that the upstream might close them while
+    /// the next request is being sent, which would leave that request's outcome unknown. Also
+    /// closes those that did not open in time (an upstream that is switched off does not even
+    /// refuse a connection), so that their requests can go to another upstream.
+    void closeExpired(Instant now);
 
-    /// Closes the idle connections to \a to. What runs on the others goes on.
-    void forget(const Endpoint &to);
+    /// Closes the idle connections to \a to. Exchanges in progress continue.
+    void closeIdle(const Endpoint &to);
 
     std::size_t count() const
     {
@@ -52,16 +54,17 @@
         Exchange exchange = 0;
     };
 
-    Entry &open(const Endpoint &to, Instant openBy);
-    void becameIdle(std::uint64_t id);
+    Entry &open(const Endpoint &to, Instant connectDeadline);
+    void markIdle(std::uint64_t id);
     void remove(std::uint64_t id);
 
     std::map<std::uint64_t, Entry> connections;
     std::map<Endpoint, std::list<std::uint64_t>> idle; ///< Most recently used first.
     std::map<Exchange, std::uint64_t> exchanges;
-    std::list<std::unique_ptr<UpstreamConnection>> closed; ///< Destroyed outside their own calls.
+    /// Destroyed at the next call, as a connection closes from within its own member functions.
+    std::list<std::unique_ptr<UpstreamConnection>> closedConnections;
     std::uint64_t nextId = 1;
-    Instant latest; ///< Of the calls that brought the time.
+    Instant lastKnownTime; ///< The time passed to the most recent call.
 };
 
 } // namespace azurewell
--- a/packages/http/src/caller_connection.cpp
+++ b/packages/http/src/caller_connection.cpp
@@ -4,33 +4,33 @@
 
 namespace {
 
-/// After the last answer the caller closes. Closing first with bytes unread would reset the
-/// connection and could take the answer away from the caller.
-constexpr Span lingers = std::chrono::milliseconds(1500);
+/// Time for the caller to close the connection after the last response. Closing it here while bytes
+/// are unread would reset the connection, and the caller could lose the response.
+constexpr Span lingerTimeout = std::chrono::milliseconds(1500);
 
 } // namespace
 
 CallerConnection::CallerConnection(UniqueFd descriptor, const RequestLimits &requestLimits,
-                                   Handlers next, Instant now)
+                                   Handlers eventHandlers, Instant now)
     : limits(requestLimits)
-    , handlers(std::move(next))
+    , handlers(std::move(eventHandlers))
     , reader(requestLimits)
-    , quietSince(now)
+    , idleSince(now)
 {
     const std::function<void(StreamEnd)> onEnded = [this](StreamEnd) {
-        this->isLeft = true;
-        this->handlers.onLeft();
+        this->isDisconnected = true;
+        this->handlers.onDisconnected();
     };
     this->stream = TcpStream::adopt(std::move(descriptor),
                                     { {},
                                       [this] { this->receive(); },
                                       onEnded,
                                       [this] {
-                                          this->drained();
+                                          this->handleDrained();
                                       } });
 }
 
-void CallerConnection::drained()
+void CallerConnection::handleDrained()
 {
     if (this->isClosing && !this->isInRequest)
         this->stream->shutdownWriting();
@@ -40,7 +40,7 @@
 void CallerConnection::receive()
 {
     if (this->isInRequest)
-        return; // The next request waits in the buffer until this one is answered.
+        return; // The next request stays in the buffer until this one is answered.
     if (this->isClosing) {
         this->stream->received().clear();
         return;
@@ -79,7 +79,7 @@
     if (!isHeadOnly)
         bytes += body;
     this->stream->write(bytes);
-    this->next(now);
+    this->startNextRequest(now);
 }
 
 void CallerConnection::beginChunks(int status, std::string_view reason,
@@ -97,22 +97,22 @@
 void CallerConnection::complete(Instant now)
 {
     this->stream->write(lastChunk);
-    this->next(now);
+    this->startNextRequest(now);
 }
 
-void CallerConnection::breakOff()
+void CallerConnection::abort()
 {
     this->isClosing = true;
     this->isInRequest = false;
-    this->isLeft = true;
+    this->isDisconnected = true;
     this->stream->abort();
 }
 
-void CallerConnection::next(Instant now)
+void CallerConnection::startNextRequest(Instant now)
 {
     this->isInRequest = false;
     this->isContinueSent = false;
-    this->quietSince = now;
+    this->idleSince = now;
     if (this->isClosing) {
         if (this->stream->unsentBytes() == 0)
             this->stream->shutdownWriting();
@@ -130,18 +130,18 @@
         this->stream->shutdownWriting();
 }
 
-bool CallerConnection::isLate(const CallerPatience &patience, Instant now) const
+bool CallerConnection::isTimedOut(const CallerTimeouts &timeouts, Instant now) const
 {
     if (this->isInRequest || this->isClosing)
         return false;
-    return now >= this->quietSince + (this->hasBegun() ? patience.head : patience.idle);
+    return now >= this->idleSince + (this->hasBegun() ? timeouts.head : timeouts.idle);
 }
 
 bool CallerConnection::isFinished(Instant now) const
 {
-    if (this->isLeft)
+    if (this->isDisconnected)
         return true;
-    return this->isClosing && !this->isInRequest && now >= this->quietSince + lingers;
+    return this->isClosing && !this->isInRequest && now >= this->idleSince + lingerTimeout;
 }
 
 } // namespace azurewell
--- a/packages/http/src/listen_socket.cpp
+++ b/packages/http/src/listen_socket.cpp
@@ -41,7 +41,7 @@
     address.sin_family = AF_INET;
     address.sin_port = htons(endpoint.port);
     if (::inet_pton(AF_INET, endpoint.ip.c_str(), &address.sin_addr) != 1)
-        return failure(endpoint, "not an IPv4 number");
+        return failure(endpoint, "not an IPv4 address");
     if (::bind(socket.get(), reinterpret_cast<const sockaddr *>(&address), sizeof address) != 0)
         return failure(endpoint, "bind");
     if (::listen(socket.get(), backlog) != 0)
--- a/packages/http/src/message.cpp
+++ b/packages/http/src/message.cpp
@@ -26,7 +26,7 @@
                        [name](std::string_view other) { return isSameHeaderName(name, other); });
 }
 
-/// Whether \a name stands in a comma-separated list of header names.
+/// Whether \a name occurs in a comma-separated list of header names.
 bool isListed(std::string_view list, std::string_view name)
 {
     while (!list.empty()) {
--- a/packages/http/src/readers.cpp
+++ b/packages/http/src/readers.cpp
@@ -15,9 +15,9 @@
 
 namespace beast = boost::beast;
 
-/// A response's body is never held whole by the parser, so only its head needs a limit. Heads of
-/// the upstreams met so far are under 1 KiB.
-constexpr std::uint32_t responseHeadLimit = 64 * 1024;
+/// The parser never holds a complete response body, so only the head needs a limit. Observed heads
+/// of upstreams are under 1 KiB.
+constexpr std::uint32_t maxResponseHeadBytes = 64 * 1024;
 
 std::string toString(beast::string_view text)
 {
@@ -39,8 +39,8 @@
             && std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-/// Whether the body's length can be read in one way only.
-bool isFramedPlainly(const std::vector<HttpHeader> &headers)
+/// Whether the head defines the body's length in exactly one way.
+bool hasUnambiguousFraming(const std::vector<HttpHeader> &headers)
 {
     const std::size_t lengths = headerCount(headers, "Content-Length");
     const std::size_t codings = headerCount(headers, "Transfer-Encoding");
@@ -51,7 +51,7 @@
     return codings == 0 || isSameHeaderName(headerValue(headers, "Transfer-Encoding"), "chunked");
 }
 
-/// Whether the head at the front of \a buffer has a line that continues the one before it.
+/// Whether the head at the front of \a buffer has a folded header line (obs-fold, RFC 9112, 5.2).
 bool hasFoldedLine(std::string_view buffer)
 {
     const std::size_t end = buffer.find("\r\n\r\n");
@@ -69,22 +69,22 @@
     return ResultCode::MalformedRequest;
 }
 
-/// Feeds \a buffer to \a parser until it needs more or is done, and removes what was taken.
+/// Feeds \a buffer to \a parser until it needs more bytes or is done; erases the consumed bytes.
 template <typename Parser>
 beast::error_code feed(Parser &parser, std::string &buffer)
 {
-    std::size_t taken = 0;
+    std::size_t consumed = 0;
     beast::error_code error;
-    while (taken < buffer.size() && !parser.is_done()) {
+    while (consumed < buffer.size() && !parser.is_done()) {
         const std::size_t used = parser.put(
-                boost::asio::buffer(buffer.data() + taken, buffer.size() - taken), error);
-        taken += used;
+                boost::asio::buffer(buffer.data() + consumed, buffer.size() - consumed), error);
+        consumed += used;
         if (error == beast::http::error::need_more)
             error = {};
         if (error || used == 0)
             break;
     }
-    buffer.erase(0, taken);
+    buffer.erase(0, consumed);
     return error;
 }
 
@@ -93,7 +93,7 @@
 struct RequestReader::Impl
 {
     beast::http::request_parser<beast::http::string_body> parser;
-    std::optional<RequestLine> head;
+    std::optional<RequestHead> head;
     std::uint32_t headBytes;
     bool hasBegun = false;
 };
@@ -116,21 +116,22 @@
     Impl &self = *this->impl;
     if (!self.head) {
         self.hasBegun = self.hasBegun || !buffer.empty();
-        // The parser keeps the bytes of an unfinished head in our buffer: it takes whole lines.
+        // The parser consumes complete lines only, so an incomplete head stays in the buffer.
         if (buffer.find("\r\n\r\n") == std::string::npos) {
             if (buffer.size() > self.headBytes)
-                return Error{ ResultCode::HeadTooLarge, "no end of the head within the limit" };
+                return Error{ ResultCode::HeadTooLarge, "request head exceeds the size limit" };
             return false;
         }
         if (hasFoldedLine(buffer))
-            return Error{ ResultCode::MalformedRequest, "a header line is folded" };
+            return Error{ ResultCode::MalformedRequest,
+                          "request head contains a folded header line" };
     }
     const beast::error_code error = feed(self.parser, buffer);
     if (error)
         return Error{ codeOf(error), error.message() };
     if (!self.head && self.parser.is_header_done()) {
         const auto &message = self.parser.get();
-        RequestLine line;
+        RequestHead line;
         line.method = toString(message.method_string());
         line.target = toString(message.target());
         line.headers = headersOf(message);
@@ -139,8 +140,8 @@
                                                 "100-continue");
         line.hasBody = headerCount(line.headers, "Content-Length") != 0
                 || headerCount(line.headers, "Transfer-Encoding") != 0;
-        if (!isFramedPlainly(line.headers))
-            return Error{ ResultCode::MalformedRequest, "the length of the body is ambiguous" };
+        if (!hasUnambiguousFraming(line.headers))
+            return Error{ ResultCode::MalformedRequest, "request body length is ambiguous" };
         self.head = std::move(line);
     }
     return self.parser.is_done();
@@ -156,7 +157,7 @@
     return this->impl->hasBegun;
 }
 
-const RequestLine &RequestReader::head() const
+const RequestHead &RequestReader::head() const
 {
     return *this->impl->head;
 }
@@ -176,7 +177,7 @@
     : impl(std::make_unique<Impl>())
 {
     this->impl->parser.eager(true);
-    this->impl->parser.header_limit(responseHeadLimit);
+    this->impl->parser.header_limit(maxResponseHeadBytes);
     this->impl->parser.body_limit(std::numeric_limits<std::uint64_t>::max());
     this->impl->parser.skip(isHeadOnly);
 }
@@ -198,9 +199,9 @@
         head.reason = toString(message.reason());
         head.headers = headersOf(message);
         head.keepsConnection = message.keep_alive();
-        head.endsWithConnection = message.need_eof() && !self.parser.is_done();
-        if (!isFramedPlainly(head.headers))
-            return Error{ ResultCode::UpstreamFailed, "the length of the body is ambiguous" };
+        head.endsAtClose = message.need_eof() && !self.parser.is_done();
+        if (!hasUnambiguousFraming(head.headers))
+            return Error{ ResultCode::UpstreamFailed, "response body length is ambiguous" };
         self.head = std::move(head);
     }
     return self.parser.is_done();
--- a/packages/http/src/tcp_stream.cpp
+++ b/packages/http/src/tcp_stream.cpp
@@ -14,17 +14,18 @@
 
 namespace {
 
-/// Read at once. A whole request of the sizes seen (5 KB) fits.
-constexpr std::size_t readBytes = 16ULL * 1024;
+/// Bytes read per call. A complete request of the observed sizes (5 KB) fits.
+constexpr std::size_t readBlockBytes = 16ULL * 1024;
 
-/// Accepted before other events get a turn, so that a flood of connections cannot starve answers.
-constexpr int mostAcceptsInARow = 32;
+/// Connections accepted per event, so that a connection flood cannot delay responses.
+constexpr int maxAcceptsPerEvent = 32;
 
-/// Unacknowledged data ends the connection after this time, in milliseconds. A host that is cut off
-/// sends no reset: without this a write to it would hang until the request's deadline.
+/// Time after which unacknowledged data closes the connection, in milliseconds. A host that is
+/// partitioned sends no reset: without this timeout a write to it would hang until the request's
+/// deadline.
 constexpr int userTimeoutMillis = 2500;
 
-void setUp(int fd)
+void setSocketOptions(int fd)
 {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -58,23 +59,23 @@
     const bool isAddress = inet_pton(AF_INET, to.ip.c_str(), &address.sin_addr) == 1;
     bool isStarted = fd >= 0 && isAddress;
     if (isStarted) {
-        setUp(fd);
+        setSocketOptions(fd);
         const int result = ::connect(fd, reinterpret_cast<const sockaddr *>(&address),
                                      sizeof address);
         isStarted = result == 0 || errno == EINPROGRESS;
     }
     stream->isConnecting = true;
     if (isStarted) {
-        stream->watch();
+        stream->createNotifiers();
         return stream;
     }
     stream->descriptor = UniqueFd();
     TcpStream *raw = stream.get();
     QMetaObject::invokeMethod(
             QCoreApplication::instance(),
-            [raw, gone = stream->isGone] {
-                if (!*gone)
-                    raw->end(StreamEnd::NotOpened);
+            [raw, destroyed = stream->isDestroyed] {
+                if (!*destroyed)
+                    raw->reportEnd(StreamEnd::ConnectFailed);
             },
             Qt::QueuedConnection);
     return stream;
@@ -85,22 +86,22 @@
     std::unique_ptr<TcpStream> stream(new TcpStream);
     stream->descriptor = std::move(descriptor);
     stream->handlers = std::move(handlers);
-    setUp(stream->descriptor.get());
-    stream->watch();
+    setSocketOptions(stream->descriptor.get());
+    stream->createNotifiers();
     return stream;
 }
 
 TcpStream::~TcpStream()
 {
-    *this->isGone = true;
+    *this->isDestroyed = true;
 }
 
-void TcpStream::setHandlers(Handlers next)
+void TcpStream::setHandlers(Handlers newHandlers)
 {
-    this->handlers = std::move(next);
+    this->handlers = std::move(newHandlers);
 }
 
-void TcpStream::watch()
+void TcpStream::createNotifiers()
 {
     const int fd = this->descriptor.get();
     this->readNotifier = decltype(this->readNotifier)(
@@ -108,9 +109,9 @@
     this->writeNotifier = decltype(this->writeNotifier)(
             new QSocketNotifier(fd, QSocketNotifier::Write));
     QObject::connect(this->readNotifier.get(), &QSocketNotifier::activated,
-                     [this] { this->readable(); });
+                     [this] { this->handleReadable(); });
     QObject::connect(this->writeNotifier.get(), &QSocketNotifier::activated,
-                     [this] { this->writable(); });
+                     [this] { this->handleWritable(); });
     this->readNotifier->setEnabled(!this->isConnecting);
     this->writeNotifier->setEnabled(this->isConnecting);
 }
@@ -133,30 +134,30 @@
         if (count < 0 && errno == EINTR)
             continue;
         if (count <= 0)
-            break; // A broken connection is seen by the reader, which also gets what came before.
-        this->isSentFrom = true;
+            break; // Reading detects a broken connection, after the bytes received before it.
+        this->hasSentBytes = true;
         sent += static_cast<std::size_t>(count);
     }
     this->output.erase(0, sent);
     this->writeNotifier->setEnabled(!this->output.empty());
 }
 
-void TcpStream::writable()
+void TcpStream::handleWritable()
 {
     if (this->isConnecting) {
         int error = 0;
         socklen_t length = sizeof error;
         getsockopt(this->descriptor.get(), SOL_SOCKET, SO_ERROR, &error, &length);
         if (error != 0) {
-            this->end(StreamEnd::NotOpened);
+            this->reportEnd(StreamEnd::ConnectFailed);
             return;
         }
         this->isConnecting = false;
         this->readNotifier->setEnabled(true);
-        const std::shared_ptr<bool> gone = this->isGone;
+        const std::shared_ptr<bool> destroyed = this->isDestroyed;
         if (this->handlers.onOpened)
             this->handlers.onOpened();
-        if (*gone || this->isEnded)
+        if (*destroyed || this->isEnded)
             return;
     }
     const bool wasWaiting = !this->output.empty();
@@ -165,9 +166,9 @@
         this->handlers.onDrained();
 }
 
-void TcpStream::readable()
+void TcpStream::handleReadable()
 {
-    std::array<char, readBytes> block;
+    std::array<char, readBlockBytes> block;
     const ssize_t count = ::recv(this->descriptor.get(), block.data(), block.size(), 0);
     if (count > 0) {
         this->input.append(block.data(), static_cast<std::size_t>(count));
@@ -177,10 +178,10 @@
     }
     if (count < 0 && isTransient(errno))
         return;
-    this->end(count == 0 ? StreamEnd::Finished : StreamEnd::Broken);
+    this->reportEnd(count == 0 ? StreamEnd::Finished : StreamEnd::Broken);
 }
 
-void TcpStream::end(StreamEnd how)
+void TcpStream::reportEnd(StreamEnd how)
 {
     if (this->isEnded)
         return;
@@ -220,21 +221,21 @@
 
 TcpAcceptor::TcpAcceptor(UniqueFd listening, std::function<void(UniqueFd)> onAccepted)
     : descriptor(std::move(listening))
-    , accepted(std::move(onAccepted))
+    , handler(std::move(onAccepted))
     , notifier(this->descriptor.get(), QSocketNotifier::Read)
 {
     QObject::connect(&this->notifier, &QSocketNotifier::activated,
-                     [this] { this->acceptWaiting(); });
+                     [this] { this->acceptPending(); });
 }
 
-void TcpAcceptor::acceptWaiting()
+void TcpAcceptor::acceptPending()
 {
-    for (int i = 0; i < mostAcceptsInARow; ++i) {
+    for (int i = 0; i < maxAcceptsPerEvent; ++i) {
         const int fd = ::accept4(this->descriptor.get(), nullptr, nullptr,
                                  SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0)
             return;
-        this->accepted(UniqueFd(fd));
+        this->handler(UniqueFd(fd));
     }
 }
 
--- a/packages/http/src/upstream_connection.cpp
+++ b/packages/http/src/upstream_connection.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The `timeout` of a Keep-Alive header; 0 where there is none.
+/// The `timeout` parameter of a Keep-Alive header; 0 if there is none.
 Span keepAliveOf(const ResponseHead &head)
 {
     const std::string_view value = headerValue(head.headers, "Keep-Alive");
@@ -28,21 +28,21 @@
 
 } // namespace
 
-UpstreamConnection::UpstreamConnection(const Endpoint &to, Instant latestOpening,
+UpstreamConnection::UpstreamConnection(const Endpoint &to, Instant deadline,
                                        std::function<void()> onIdle, std::function<void()> onClosed)
-    : openBy(latestOpening)
-    , idle(std::move(onIdle))
-    , closed(std::move(onClosed))
+    : connectDeadline(deadline)
+    , idleHandler(std::move(onIdle))
+    , closedHandler(std::move(onClosed))
 {
     this->stream = TcpStream::open(to,
-                                   { [this] { this->opened(); },
+                                   { [this] { this->handleOpened(); },
                                      [this] { this->receive(); },
-                                     [this](StreamEnd how) { this->ended(how); },
+                                     [this](StreamEnd how) { this->handleEnd(how); },
                                      {} });
 }
 
-void UpstreamConnection::begin(const std::string &request, bool isHeadOnly,
-                               ExchangeHandlers handlers)
+void UpstreamConnection::startExchange(const std::string &request, bool isHeadOnly,
+                                       ExchangeHandlers handlers)
 {
     this->exchange = std::make_unique<Exchange>();
     this->exchange->handlers = std::move(handlers);
@@ -56,10 +56,10 @@
     this->exchange.reset();
     this->stream->abort();
     if (!std::exchange(this->isClosed, true))
-        this->closed();
+        this->closedHandler();
 }
 
-void UpstreamConnection::giveUpOpening()
+void UpstreamConnection::failConnect()
 {
     if (this->exchange)
         this->fail(ExchangeFailure::NotSent);
@@ -67,71 +67,72 @@
         this->abandon();
 }
 
-/// A process that was paused while its connection opened wakes with a request that is no longer
-/// meant to be sent: an order whose right has lapsed, or a deadline that has passed.
-void UpstreamConnection::opened()
+/// A process that was paused while its connection opened may resume with a request that must no
+/// longer be sent: an order from a host that is no longer the coordinator, or a request past its
+/// deadline.
+void UpstreamConnection::handleOpened()
 {
-    if (monotonicNow() >= this->openBy)
-        this->giveUpOpening();
+    if (monotonicNow() >= this->connectDeadline)
+        this->failConnect();
 }
 
 void UpstreamConnection::receive()
 {
     if (!this->exchange) {
-        // Bytes that nobody asked for belong to no request: the connection cannot be trusted.
+        // Unsolicited bytes belong to no request, so the connection must not be reused.
         this->abandon();
         return;
     }
-    const std::shared_ptr<bool> gone = this->isGone;
-    while (!*gone && this->exchange && !this->stream->received().empty()) {
-        if (!this->readOne())
+    const std::shared_ptr<bool> destroyed = this->isDestroyed;
+    while (!*destroyed && this->exchange && !this->stream->received().empty()) {
+        if (!this->readResponse())
             return;
     }
 }
 
-/// Reads on in the present response. False where no more can be read now.
-bool UpstreamConnection::readOne()
+/// Continues to read the current response. Returns false if nothing more can be read now.
+bool UpstreamConnection::readResponse()
 {
-    const std::shared_ptr<bool> gone = this->isGone;
+    const std::shared_ptr<bool> destroyed = this->isDestroyed;
     Exchange &current = *this->exchange;
     const Result<bool> isWhole = current.reader.read(this->stream->received());
     if (!isWhole) {
-        this->fail(ExchangeFailure::Garbled);
+        this->fail(ExchangeFailure::Malformed);
         return false;
     }
-    if (current.reader.isHeadRead() && !current.isHeadPassed) {
-        this->passHead();
-        if (*gone || !this->exchange)
+    if (current.reader.isHeadRead() && !current.isHeadDelivered) {
+        this->deliverHead();
+        if (*destroyed || !this->exchange)
             return false;
     }
     std::string body = current.reader.takeBody();
-    if (!body.empty() && !current.isForeign) {
+    if (!body.empty() && !current.isUnrelated) {
         current.handlers.onBody(std::move(body));
-        if (*gone || !this->exchange)
+        if (*destroyed || !this->exchange)
             return false;
     }
     if (!isWhole.value())
         return false;
-    if (!current.isForeign) {
+    if (!current.isUnrelated) {
         this->complete();
         return false;
     }
     current.reader = ResponseReader(current.isHeadOnly);
-    current.isHeadPassed = false;
-    current.isForeign = false;
+    current.isHeadDelivered = false;
+    current.isUnrelated = false;
     return true;
 }
 
-void UpstreamConnection::passHead()
+void UpstreamConnection::deliverHead()
 {
     Exchange &current = *this->exchange;
     const ResponseHead &head = current.reader.head();
-    current.isHeadPassed = true;
-    current.isForeign = isInterim(head) || !current.handlers.isOwn(head);
-    if (current.isForeign)
+    current.isHeadDelivered = true;
+    current.isUnrelated = isInterim(head) || !current.handlers.matchesRequest(head);
+    if (current.isUnrelated)
         return;
     this->keepAlive = keepAliveOf(head);
-    this->keepsConnection = head.keepsConnection && !head.endsWithConnection;
+    this->keepsConnection = head.keepsConnection && !head.endsAtClose;
     const std::function<void(const ResponseHead &)> onHead = current.handlers.onHead;
     onHead(head);
 }
@@ -139,43 +140,43 @@
 void UpstreamConnection::complete()
 {
     const std::unique_ptr<Exchange> done = std::move(this->exchange);
-    // A response may come before the whole request was read. What is left of the request would be
-    // taken for the next one, and bytes after the response belong to nobody.
+    // A response may arrive before the whole request was sent. The upstream would take the rest of
+    // the request for the next one, and bytes after the response belong to no request.
     const bool isReusable = this->keepsConnection && this->stream->unsentBytes() == 0
             && this->stream->received().empty() && this->stream->isOpen();
-    const std::shared_ptr<bool> gone = this->isGone;
+    const std::shared_ptr<bool> destroyed = this->isDestroyed;
     done->handlers.onComplete();
-    if (*gone || this->isClosed)
+    if (*destroyed || this->isClosed)
         return;
     if (isReusable)
-        this->idle();
+        this->idleHandler();
     else
         this->abandon();
 }
 
-void UpstreamConnection::ended(StreamEnd how)
+void UpstreamConnection::handleEnd(StreamEnd how)
 {
     if (!this->exchange) {
         this->abandon();
         return;
     }
     Exchange &current = *this->exchange;
-    if (how == StreamEnd::Finished && current.isHeadPassed && !current.isForeign
+    if (how == StreamEnd::Finished && current.isHeadDelivered && !current.isUnrelated
         && current.reader.finish()) {
         this->keepsConnection = false;
         this->complete();
         return;
     }
-    const bool isUnsent = how == StreamEnd::NotOpened || !this->stream->hasSent();
+    const bool isUnsent = how == StreamEnd::ConnectFailed || !this->stream->hasSent();
     this->fail(isUnsent ? ExchangeFailure::NotSent : ExchangeFailure::CutOff);
 }
 
 void UpstreamConnection::fail(ExchangeFailure failure)
 {
     const std::unique_ptr<Exchange> done = std::move(this->exchange);
-    const std::shared_ptr<bool> gone = this->isGone;
+    const std::shared_ptr<bool> destroyed = this->isDestroyed;
     done->handlers.onFailure(failure);
-    if (!*gone)
+    if (!*destroyed)
         this->abandon();
 }
 
--- a/packages/http/src/upstream_connections.cpp
+++ b/packages/http/src/upstream_connections.cpp
@@ -6,22 +6,23 @@
 
 namespace {
 
-/// Where the upstream states no limit. Half of the shortest seen (5 s).
-constexpr Span idleWithoutWord = std::chrono::milliseconds(2500);
+/// Used if the upstream states no keep-alive timeout. Half of the shortest observed (5 s).
+constexpr Span defaultIdleTimeout = std::chrono::milliseconds(2500);
 
-/// Of the limit that the upstream states, in parts of a hundred: the last part is left for requests
-/// that cross the upstream's close on the way.
-constexpr int usedPercent = 60;
+/// Percentage of the stated keep-alive timeout that is used. The rest is a margin, so that no
+/// request is sent while the upstream closes the connection.
+constexpr int keepAliveUsedPercent = 60;
 
 } // namespace
 
-UpstreamConnections::Entry &UpstreamConnections::open(const Endpoint &to, Instant openBy)
+UpstreamConnections::Entry &UpstreamConnections::open(const Endpoint &to, Instant connectDeadline)
 {
     const std::uint64_t id = this->nextId++;
     Entry &entry = this->connections[id];
     entry.to = to;
     entry.connection = std::make_unique<UpstreamConnection>(
-            to, openBy, [this, id] { this->becameIdle(id); }, [this, id] { this->remove(id); });
+            to, connectDeadline, [this, id] { this->markIdle(id); },
+            [this, id] { this->remove(id); });
     entry.exchange = id;
     return entry;
 }
@@ -29,15 +30,15 @@
 UpstreamConnections::Exchange UpstreamConnections::start(const Endpoint &to,
                                                          const std::string &request,
                                                          bool isHeadOnly, ExchangeHandlers handlers,
-                                                         Instant now, Span openWithin)
+                                                         Instant now, Span connectTimeout)
 {
-    this->latest = now;
-    this->closed.clear();
+    this->lastKnownTime = now;
+    this->closedConnections.clear();
     std::uint64_t id = 0;
-    std::list<std::uint64_t> &waiting = this->idle[to];
-    while (!waiting.empty() && id == 0) {
-        const std::uint64_t candidate = waiting.front();
-        waiting.pop_front();
+    std::list<std::uint64_t> &idleIds = this->idle[to];
+    while (!idleIds.empty() && id == 0) {
+        const std::uint64_t candidate = idleIds.front();
+        idleIds.pop_front();
         const Entry &entry = this->connections.at(candidate);
         if (entry.connection->isOpen() && now < entry.idleUntil)
             id = candidate;
@@ -45,11 +46,11 @@
             this->remove(candidate);
     }
     if (id == 0)
-        id = this->open(to, now + openWithin).exchange;
+        id = this->open(to, now + connectTimeout).exchange;
     const Exchange exchange = this->nextId++;
     this->connections.at(id).exchange = exchange;
     this->exchanges[exchange] = id;
-    this->connections.at(id).connection->begin(request, isHeadOnly, std::move(handlers));
+    this->connections.at(id).connection->startExchange(request, isHeadOnly, std::move(handlers));
     return exchange;
 }
 
@@ -67,13 +68,13 @@
         this->connections.at(found->second).connection->pauseReading(paused);
 }
 
-void UpstreamConnections::becameIdle(std::uint64_t id)
+void UpstreamConnections::markIdle(std::uint64_t id)
 {
     Entry &entry = this->connections.at(id);
     this->exchanges.erase(entry.exchange);
-    const Span stated = entry.connection->idleLimit();
-    const Span limit = stated > Span{} ? stated * usedPercent / 100 : idleWithoutWord;
-    entry.idleUntil = this->latest + limit;
+    const Span stated = entry.connection->keepAliveTimeout();
+    const Span limit = stated > Span{} ? stated * keepAliveUsedPercent / 100 : defaultIdleTimeout;
+    entry.idleUntil = this->lastKnownTime + limit;
     this->idle[entry.to].push_front(id);
 }
 
@@ -83,45 +84,45 @@
     if (found == this->connections.end())
         return;
     this->exchanges.erase(found->second.exchange);
-    const auto waiting = this->idle.find(found->second.to);
-    if (waiting != this->idle.end()) {
-        waiting->second.remove(id);
-        if (waiting->second.empty())
-            this->idle.erase(waiting);
+    const auto idleIds = this->idle.find(found->second.to);
+    if (idleIds != this->idle.end()) {
+        idleIds->second.remove(id);
+        if (idleIds->second.empty())
+            this->idle.erase(idleIds);
     }
-    this->closed.push_back(std::move(found->second.connection));
+    this->closedConnections.push_back(std::move(found->second.connection));
     this->connections.erase(found);
 }
 
-void UpstreamConnections::closeLate(Instant now)
+void UpstreamConnections::closeExpired(Instant now)
 {
-    this->latest = now;
-    this->closed.clear();
-    std::vector<std::uint64_t> late;
+    this->lastKnownTime = now;
+    this->closedConnections.clear();
+    std::vector<std::uint64_t> expired;
     for (const auto &[to, ids] : this->idle) {
-        std::copy_if(ids.begin(), ids.end(), std::back_inserter(late),
+        std::copy_if(ids.begin(), ids.end(), std::back_inserter(expired),
                      [&](std::uint64_t id) { return now >= this->connections.at(id).idleUntil; });
     }
-    for (const std::uint64_t id : late)
+    for (const std::uint64_t id : expired)
         this->remove(id);
-    std::vector<std::uint64_t> unopened;
+    std::vector<std::uint64_t> overdue;
     for (const auto &[id, entry] : this->connections) {
-        if (entry.connection->isOpeningLate(now))
-            unopened.push_back(id);
+        if (entry.connection->isConnectOverdue(now))
+            overdue.push_back(id);
     }
-    for (const std::uint64_t id : unopened) {
+    for (const std::uint64_t id : overdue) {
         const auto found = this->connections.find(id);
         if (found != this->connections.end())
-            found->second.connection->giveUpOpening();
+            found->second.connection->failConnect();
     }
 }
 
-void UpstreamConnections::forget(const Endpoint &to)
+void UpstreamConnections::closeIdle(const Endpoint &to)
 {
-    const auto waiting = this->idle.find(to);
-    if (waiting == this->idle.end())
+    const auto idleIds = this->idle.find(to);
+    if (idleIds == this->idle.end())
         return;
-    const std::list<std::uint64_t> ids = waiting->second;
+    const std::list<std::uint64_t> ids = idleIds->second;
     for (const std::uint64_t id : ids)
         this->remove(id);
 }
--- a/packages/http/tests/readers_test.cpp
+++ b/packages/http/tests/readers_test.cpp
@@ -48,11 +48,10 @@
 {
 };
 
-TEST_P(AmbiguousHead, IsRefused)
+TEST_P(AmbiguousHead, IsRejected)
 {
-    // A caller frames a body so that two readers see different ends of it and hides a second
-    // request behind the first. If this host passed it on, the hidden request would run without its
-    // key having been looked at.
+    // Guards against request smuggling: a body with ambiguous framing hides a second request. If it
+    // were forwarded, the hidden request would run without its key being checked.
     EXPECT_FALSE(readAll("POST / HTTP/1.1\r\nHost: h\r\n" + GetParam() + "\r\n\r\nabc\r\n"));
 }
 
@@ -64,7 +63,7 @@
                                          "Transfer-Encoding: gzip, chunked",
                                          "X-A: b\r\n c: d\r\nContent-Length: 3"));
 
-TEST(RequestReader, BoundsTheHeadAndTheBody)
+TEST(RequestReader, LimitsHeadAndBodySize)
 {
     const std::string longHead = "GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(40000, 'x');
     const Result<bool> head = readAll(longHead);
@@ -77,34 +76,34 @@
     EXPECT_EQ(body.error().code, ResultCode::BodyTooLarge);
 }
 
-TEST(ResponseReader, TakesABodyWithoutLengthAsWholeOnlyAtTheEndOfTheConnection)
+TEST(ResponseReader, BodyWithoutLengthIsCompleteOnlyWhenTheConnectionCloses)
 {
     ResponseReader reader{ false };
     std::string buffer = "HTTP/1.1 200 OK\r\n\r\npart";
     EXPECT_FALSE(reader.read(buffer).value());
-    EXPECT_TRUE(reader.head().endsWithConnection);
+    EXPECT_TRUE(reader.head().endsAtClose);
     EXPECT_EQ(reader.takeBody(), "part");
     EXPECT_TRUE(reader.finish());
 }
 
-TEST(ResponseReader, DoesNotTakeACutBodyAsWhole)
+TEST(ResponseReader, TruncatedBodyIsNotComplete)
 {
-    // The upstream closes its connection in the middle of a body whose length it announced. Passed
-    // on as whole, the caller would act on half an answer.
+    // Guards against forwarding a truncated response as complete when the upstream closes its
+    // connection in the middle of a body with a stated length.
     ResponseReader reader{ false };
     std::string buffer = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart";
     EXPECT_FALSE(reader.read(buffer).value());
     EXPECT_FALSE(reader.finish());
 }
 
-TEST(ResponseReader, RefusesBytesThatAreNoResponse)
+TEST(ResponseReader, RejectsBytesThatAreNotAResponse)
 {
     ResponseReader reader{ false };
     std::string buffer = "nonsense\r\n\r\n";
     EXPECT_FALSE(reader.read(buffer));
 }
 
-TEST(Headers, LeaveOutWhatIsMeantForTheNextHop)
+TEST(Headers, EndToEndHeadersOmitHopByHopHeaders)
 {
     const std::vector<HttpHeader> all{ { "Connection", "close, X-Hop" },
                                        { "X-Hop", "1" },
--- a/packages/http/tests/upstream_connections_test.cpp
+++ b/packages/http/tests/upstream_connections_test.cpp
@@ -16,11 +16,11 @@
 namespace azurewell {
 namespace {
 
-/// A server on loopback whose side of each connection the test plays by hand.
-class HandServer
+/// A loopback server whose responses the test scripts step by step.
+class ScriptedServer
 {
 public:
-    HandServer()
+    ScriptedServer()
     {
         this->listening = std::move(openListenSocket({ "127.0.0.1", 0 }).value());
         sockaddr_in address{};
@@ -29,16 +29,16 @@
         this->endpoint = { "127.0.0.1", ntohs(address.sin_port) };
     }
 
-    /// Waits for a connection and reads what comes until \a bytes are there.
+    /// Waits for a connection and reads until \a bytes have arrived.
     std::string acceptAndRead(std::size_t bytes)
     {
-        this->spin([this] {
+        this->processEventsUntil([this] {
             if (this->peer.get() < 0)
                 this->peer = UniqueFd(::accept(this->listening.get(), nullptr, nullptr));
             return this->peer.get() >= 0;
         });
         std::string text;
-        this->spin([&] {
+        this->processEventsUntil([&] {
             char block[4096];
             const ssize_t count = ::recv(this->peer.get(), block, sizeof block, MSG_DONTWAIT);
             if (count > 0)
@@ -66,7 +66,7 @@
     }
 
     template <typename Condition>
-    void spin(Condition condition)
+    void processEventsUntil(Condition condition)
     {
         QElapsedTimer timer;
         timer.start();
@@ -79,7 +79,7 @@
     Endpoint endpoint;
 };
 
-/// What became of one exchange.
+/// The recorded outcome of one exchange.
 struct Outcome
 {
     std::string body;
@@ -87,7 +87,7 @@
     bool isComplete = false;
     std::optional<ExchangeFailure> failure;
 
-    bool isOver() const
+    bool isFinished() const
     {
         return this->isComplete || this->failure;
     }
@@ -108,7 +108,7 @@
     handlers.onFailure = [&outcome](ExchangeFailure failure) {
         outcome.failure = failure;
     };
-    handlers.isOwn = [id](const ResponseHead &head) {
+    handlers.matchesRequest = [id](const ResponseHead &head) {
         return headerValue(head.headers, "Id") == id;
     };
     return handlers;
@@ -116,100 +116,100 @@
 
 const std::string request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
-TEST(UpstreamConnections, AResetIsNoEndOfAnAnswerWithoutLength)
+TEST(UpstreamConnections, ResetDoesNotCompleteAResponseWithoutLength)
 {
-    // An upstream answers without a length, so that the end of its connection ends the answer, and
-    // is reset halfway. Taken for an orderly end, the caller would get half an answer as whole.
-    HandServer server;
+    // Guards against forwarding half a response as complete: a response without a length ends when
+    // the connection closes, and a reset halfway must not count as an orderly close.
+    ScriptedServer server;
     UpstreamConnections connections;
     Outcome outcome;
     connections.start(server.endpoint, request, false, handlersFor(outcome, "1"), monotonicNow());
     server.acceptAndRead(request.size());
     server.send("HTTP/1.1 200 OK\r\nId: 1\r\n\r\nhalf");
-    server.spin([&] { return outcome.body == "half"; });
+    server.processEventsUntil([&] { return outcome.body == "half"; });
     server.reset();
-    server.spin([&] { return outcome.isOver(); });
+    server.processEventsUntil([&] { return outcome.isFinished(); });
     EXPECT_FALSE(outcome.isComplete);
     ASSERT_TRUE(outcome.failure);
     EXPECT_EQ(*outcome.failure, ExchangeFailure::CutOff);
 }
 
-TEST(UpstreamConnections, AnOrderlyEndCompletesAnAnswerWithoutLength)
+TEST(UpstreamConnections, OrderlyCloseCompletesAResponseWithoutLength)
 {
-    HandServer server;
+    ScriptedServer server;
     UpstreamConnections connections;
     Outcome outcome;
     connections.start(server.endpoint, request, false, handlersFor(outcome, "1"), monotonicNow());
     server.acceptAndRead(request.size());
     server.send("HTTP/1.1 200 OK\r\nId: 1\r\n\r\nall");
     server.close();
-    server.spin([&] { return outcome.isOver(); });
+    server.processEventsUntil([&] { return outcome.isFinished(); });
     EXPECT_TRUE(outcome.isComplete);
     EXPECT_EQ(outcome.body, "all");
 }
 
-TEST(UpstreamConnections, AnAnswerToAnEarlierRequestIsDropped)
+TEST(UpstreamConnections, DuplicateResponseToAnEarlierRequestIsDiscarded)
 {
-    // An upstream sends the answer to the first request twice, and the copy comes in front of the
-    // answer to the second. Without a look at its id the second caller would get the first one's.
-    HandServer server;
+    // Guards against delivering a response to the wrong caller: an upstream sends the response to
+    // the first request twice, and the duplicate precedes the response to the second.
+    ScriptedServer server;
     UpstreamConnections connections;
     Outcome first;
     connections.start(server.endpoint, request, false, handlersFor(first, "1"), monotonicNow());
     server.acceptAndRead(request.size());
     const std::string answer = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\none";
     server.send(answer);
-    server.spin([&] { return first.isOver(); });
+    server.processEventsUntil([&] { return first.isFinished(); });
     Outcome second;
     connections.start(server.endpoint, request, false, handlersFor(second, "2"), monotonicNow());
     server.acceptAndRead(request.size());
     server.send(answer + "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 3\r\n\r\ntwo");
-    server.spin([&] { return second.isOver(); });
+    server.processEventsUntil([&] { return second.isFinished(); });
     EXPECT_EQ(first.body, "one");
     EXPECT_EQ(second.body, "two");
 }
 
-TEST(UpstreamConnections, AConnectionWithBytesThatNobodyAskedForIsNotUsedAgain)
+TEST(UpstreamConnections, ConnectionWithUnsolicitedBytesIsNotReused)
 {
-    // Bytes come after a whole answer. They belong to no request; on a connection that is used
-    // again they would be read as the beginning of the next answer.
-    HandServer server;
+    // Guards against reading excess bytes after a complete response as the start of the next
+    // response on a reused connection.
+    ScriptedServer server;
     UpstreamConnections connections;
     Outcome outcome;
     connections.start(server.endpoint, request, false, handlersFor(outcome, "1"), monotonicNow());
     server.acceptAndRead(request.size());
     server.send("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nokEXTRA");
-    server.spin([&] { return outcome.isOver(); });
+    server.processEventsUntil([&] { return outcome.isFinished(); });
     EXPECT_TRUE(outcome.isComplete);
     EXPECT_EQ(outcome.body, "ok");
     EXPECT_EQ(connections.count(), 0U);
 }
 
-TEST(UpstreamConnections, NothingIsSentOnAConnectionThatOpensLate)
+TEST(UpstreamConnections, NothingIsSentOnAConnectionThatOpensAfterItsDeadline)
 {
-    // A process is paused while a connection opens, and wakes after another host has taken over.
-    // The request that waited for the connection is an order whose right has lapsed; sent now, it
-    // would evict an adapter that the other host has just loaded.
-    HandServer server;
+    // Guards against sending an outdated order: the process is paused while the connection opens
+    // and resumes after another host has become the coordinator. The order would evict an adapter
+    // that the other host has just loaded.
+    ScriptedServer server;
     UpstreamConnections connections;
     Outcome outcome;
     const Instant decidedAt = monotonicNow() - std::chrono::seconds(1);
     connections.start(server.endpoint, request, false, handlersFor(outcome, "1"), decidedAt,
                       std::chrono::milliseconds(200));
-    server.spin([&] { return outcome.failure.has_value(); });
+    server.processEventsUntil([&] { return outcome.failure.has_value(); });
     EXPECT_EQ(outcome.failure, ExchangeFailure::NotSent);
     EXPECT_EQ(connections.count(), 0U);
 }
 
-TEST(UpstreamConnections, ARequestToAClosedPortWasNotSent)
+TEST(UpstreamConnections, RequestToAClosedPortIsReportedAsNotSent)
 {
-    HandServer server;
+    ScriptedServer server;
     const Endpoint nobody = server.endpoint;
     server.listening = UniqueFd();
     UpstreamConnections connections;
     Outcome outcome;
     connections.start(nobody, request, false, handlersFor(outcome, "1"), monotonicNow());
-    server.spin([&] { return outcome.isOver(); });
+    server.processEventsUntil([&] { return outcome.isFinished(); });
     ASSERT_TRUE(outcome.failure);
     EXPECT_EQ(*outcome.failure, ExchangeFailure::NotSent);
 }
--- a/packages/logging/include/azurewell/logging/log.h
+++ b/packages/logging/include/azurewell/logging/log.h
@@ -18,22 +18,22 @@
     std::string value;
 };
 
-/// Lines below \a level are not written from here on. \a host stands in every line.
+/// Sets the minimum level to write, and the host name that each line carries.
 void setUpLog(LogLevel level, const std::string &host);
 
 /// Writes one line to standard output: `time level event host=... key=value ...`. Values with
-/// blanks are quoted. A key of a caller must never be passed here; only its hash exists in this
-/// program.
+/// blanks are quoted. Never pass a caller's API key; the program keeps only its hash.
 ///
-/// Never blocks: where nobody reads standard output, or lines come faster than the budget, lines
-/// are left out and counted, those of the lowest level first.
+/// Never blocks: if standard output is not read, or lines exceed the byte budget, lines are dropped
+/// and counted; part of the budget is reserved for warnings and errors.
 void writeLog(LogLevel level, std::string_view event, std::initializer_list<LogField> fields);
 void writeLog(LogLevel level, std::string_view event, const std::vector<LogField> &fields);
 
-/// Writes what has been held back, as far as standard output takes it. To be called now and then.
+/// Writes buffered lines as far as standard output accepts them without blocking. To be called
+/// periodically.
 void flushLog();
 
-/// Lines that were left out since the start.
-std::uint64_t linesLeftOut();
+/// The number of lines dropped since the start of the process.
+std::uint64_t droppedLogLines();
 
 } // namespace azurewell
--- a/packages/logging/include/azurewell/logging/log_buffer.h
+++ b/packages/logging/include/azurewell/logging/log_buffer.h
@@ -9,37 +9,37 @@
 
 namespace azurewell {
 
-/// Holds log lines until the reader takes them, within bounds of memory and of bytes a second.
+/// Buffers log lines until they can be written, bounded in memory and in bytes per second.
 ///
-/// Load pattern: a flood of refusals, each with a line, while the collector that reads standard
-/// output has stopped. Without a bound the lines fill the memory, or the process waits for its
-/// reader and no request is answered.
+/// Guards against a flood of refusals, each with a log line, while the log collector does not read
+/// standard output. Without the bounds the lines would exhaust memory, or the process would block
+/// on its output and answer no requests.
 struct LogBuffer
 {
-    std::string bytes;         ///< Whole lines, not yet written.
-    std::uint64_t leftOut = 0; ///< Lines left out since the start.
-    std::uint64_t untold = 0;  ///< Of these, the ones that no line has told of yet.
-    double budget = 0;         ///< Bytes that may be added now.
-    Instant budgetAt;
+    std::string bytes;                 ///< Complete lines that are not yet written.
+    std::uint64_t droppedLines = 0;    ///< Lines dropped since the start of the process.
+    std::uint64_t unreportedLines = 0; ///< Dropped lines that no log line has reported yet.
+    double budget = 0;                 ///< Token bucket: bytes that may be added now.
+    Instant budgetAt;                  ///< Last refill of the budget; 0: never filled.
 };
 
-/// Bytes held at the most: 20 s of the budget.
-inline constexpr std::size_t mostHeldBytes = 256ULL * 1024;
+/// Maximum number of buffered bytes: 20 s at the sustained rate.
+inline constexpr std::size_t maxBufferedBytes = 256ULL * 1024;
 
-/// Bytes a second and host over a longer time: at 12 lines a second of 150 bytes for the requests
-/// of a busy host, with room for as many refusals again.
-inline constexpr double bytesPerSecond = 12 * 1024;
+/// Sustained bytes per second and host. A busy host writes 12 lines of 150 bytes per second for its
+/// requests; the rest leaves capacity for as many refusals.
+inline constexpr double sustainedBytesPerSecond = 12 * 1024;
 
-/// Bytes that may come at once after a quiet time.
-inline constexpr double mostSavedBytes = 64 * 1024;
+/// Burst size in bytes.
+inline constexpr double maxBurstBytes = 64 * 1024;
 
-/// Of the saved bytes, lines that are not urgent leave this part to those that are.
-inline constexpr double keptForUrgent = 16 * 1024;
+/// Bytes of the budget that only urgent lines may use.
+inline constexpr double reservedForUrgentBytes = 16 * 1024;
 
-/// Adds \a line, which ends with a line feed. False where it was left out.
+/// Adds \a line, which ends with a line feed. Returns false if it was dropped.
 bool addLine(LogBuffer &buffer, std::string_view line, bool isUrgent, Instant now);
 
-/// How many lines were left out since the last call; to be told in a line of its own.
-std::uint64_t takeUntold(LogBuffer &buffer);
+/// Returns the number of lines dropped since the last call, for a log line that reports them.
+std::uint64_t takeUnreportedLines(LogBuffer &buffer);
 
 } // namespace azurewell
--- a/packages/logging/include/azurewell/logging/log_line.h
+++ b/packages/logging/include/azurewell/logging/log_line.h
@@ -8,7 +8,7 @@
 
 namespace azurewell {
 
-/// A line of the log as writeLog() writes it.
+/// A parsed line as written by writeLog().
 struct LogLine
 {
     std::string level;
@@ -16,14 +16,14 @@
     std::map<std::string, std::string, std::less<>> fields;
 };
 
-/// Empty where \a text is no line of the log. What stands before the level is passed over: the
-/// time, and what a collector of logs may have put before it.
+/// Parses \a text; empty if it is not a log line. Skips everything before the level: the time, and
+/// any prefix that a log collector added.
 std::optional<LogLine> readLogLine(std::string_view text);
 
-/// A field's value; empty where the line does not have it.
+/// The value of a field; empty if the line does not have it.
 std::string_view fieldOf(const LogLine &line, std::string_view key);
 
-/// The same as a number; 0 where it is none.
+/// The value of a field as a number; 0 if it is missing or not a number.
 long numberOf(const LogLine &line, std::string_view key);
 
 } // namespace azurewell
--- a/packages/logging/include/azurewell/logging/request_summary.h
+++ b/packages/logging/include/azurewell/logging/request_summary.h
@@ -8,32 +8,35 @@
 
 namespace azurewell {
 
-/// What callers take for in time.
+/// Latency targets in milliseconds: an answer within both is in time.
 struct Expectation
 {
-    long firstMillis = 1000; ///< Until the first event of an answer.
-    long pauseMillis = 500;  ///< Between two events.
+    long firstMillis = 1000; ///< From arrival to the first event of an answer.
+    long pauseMillis = 500;  ///< Between two events of an answer.
 };
 
-/// Requests by what became of them, from the log lines of all hosts.
+/// Counts requests by outcome, from the log lines of all hosts.
 struct RequestSummary
 {
     using Counts = std::map<std::string, std::uint64_t>;
 
-    std::map<std::string, Counts>
-            byPath;        ///< Outcomes by the first part of the path, see outcomeOf().
-    Counts lostAtUpstream; ///< Late or refused after it was sent there.
-    Counts lostOfAdapter;
-    std::uint64_t linesUnread = 0; ///< Lines that are no line of the log.
+    std::map<std::string, Counts> byPath; ///< Outcomes by first path segment, see outcomeOf().
+    Counts lostAtUpstream;         ///< Late or refused requests by the upstream they were sent to.
+    Counts lostOfAdapter;          ///< Late or refused requests by adapter.
+    std::uint64_t linesUnread = 0; ///< Lines that could not be parsed.
 };
 
-/// What became of a request by its last line: `in_time`; `late_sent`, its first event was late and
-/// half of the time had passed before it left; `late_read`, late otherwise; `late_pause`; or
-/// `refused_CODE`, with `_early` where it was refused within an eighth of the time and `_waited`
-/// otherwise. Empty where \a line does not end a request.
+/// The outcome of the request that \a line ends; empty if it ends none:
+/// - `in_time`: both targets were met.
+/// - `late_sent`: the first event was late, and the request was sent to an upstream only after half
+///   of the target.
+/// - `late_read`: the first event was late although the request was sent earlier.
+/// - `late_pause`: a pause between two events was too long.
+/// - `refused_CODE_early`: refused within an eighth of the target for the first event.
+/// - `refused_CODE_waited`: refused later.
 std::string outcomeOf(const LogLine &line, const Expectation &expected);
 
-/// Adds one line of a log.
+/// Counts one log line.
 void addLine(RequestSummary &summary, std::string_view text, const Expectation &expected);
 
 } // namespace azurewell
--- a/packages/logging/src/log.cpp
+++ b/packages/logging/src/log.cpp
@@ -16,12 +16,13 @@
 
 namespace {
 
-LogLevel lowestLevel = LogLevel::Info;
+LogLevel minLevel = LogLevel::Info;
 std::string hostName = "-";
-std::mutex bufferGuard; ///< Of `buffer`: traffic threads write lines, too.
+std::mutex bufferMutex; ///< Protects `buffer`: traffic threads write log lines as well.
 LogBuffer buffer;
 
-/// A pipe that poll() calls writable takes this much without blocking (PIPE_BUF on Linux).
+/// A pipe that poll() reports as writable accepts this many bytes without blocking (PIPE_BUF on
+/// Linux).
 constexpr std::size_t writeBytes = 4096;
 
 Instant bufferNow()
@@ -30,8 +31,8 @@
     return Instant{ std::chrono::duration_cast<Span>(sinceStart).count() };
 }
 
-/// Writes what standard output takes now.
-void writeHeld()
+/// Writes as many buffered bytes as standard output accepts without blocking.
+void writeBuffered()
 {
     while (!buffer.bytes.empty()) {
         pollfd output{ STDOUT_FILENO, POLLOUT, 0 };
@@ -40,8 +41,8 @@
         const std::size_t size = std::min(writeBytes, buffer.bytes.size());
         const ssize_t written = ::write(STDOUT_FILENO, buffer.bytes.data(), size);
         if (written <= 0)
-            return; // Nobody can be told that the log cannot be written; lines wait and are
-                    // counted.
+            return; // A failure to write the log cannot be logged; lines stay buffered, and those
+                    // that no longer fit are counted.
         buffer.bytes.erase(0, static_cast<std::size_t>(written));
     }
 }
@@ -61,8 +62,8 @@
     return "error";
 }
 
-/// A value with blanks, quotes or line ends is quoted, so that a caller's text cannot forge a field
-/// or a line.
+/// Quotes a value with blanks, quotes or line ends, so that a caller's text cannot forge a field or
+/// a line.
 std::string quoted(const std::string &value)
 {
     if (!value.empty() && value.find_first_of(" \"\n\r\t=") == std::string::npos)
@@ -80,13 +81,14 @@
 
 void setUpLog(LogLevel level, const std::string &host)
 {
-    lowestLevel = level;
+    minLevel = level;
     hostName = host;
 }
 
 namespace {
 
-std::string lineOf(LogLevel level, std::string_view event, const LogField *first, std::size_t count)
+std::string formatLine(LogLevel level, std::string_view event, const LogField *first,
+                       std::size_t count)
 {
     const auto now = std::chrono::time_point_cast<std::chrono::milliseconds>(
             std::chrono::system_clock::now());
@@ -101,19 +103,19 @@
 
 void writeFields(LogLevel level, std::string_view event, const LogField *first, std::size_t count)
 {
-    if (level < lowestLevel)
+    if (level < minLevel)
         return;
-    const std::string line = lineOf(level, event, first, count);
-    const std::lock_guard<std::mutex> lock(bufferGuard);
+    const std::string line = formatLine(level, event, first, count);
+    const std::lock_guard<std::mutex> lock(bufferMutex);
     const Instant now = bufferNow();
     if (!addLine(buffer, line, level >= LogLevel::Warning, now))
         return;
-    const std::uint64_t untold = takeUntold(buffer);
-    if (untold > 0) {
-        const LogField lines{ "lines", std::to_string(untold) };
-        addLine(buffer, lineOf(LogLevel::Warning, "log_lines_left_out", &lines, 1), true, now);
+    const std::uint64_t unreportedLines = takeUnreportedLines(buffer);
+    if (unreportedLines > 0) {
+        const LogField lines{ "lines", std::to_string(unreportedLines) };
+        addLine(buffer, formatLine(LogLevel::Warning, "log_lines_dropped", &lines, 1), true, now);
     }
-    writeHeld();
+    writeBuffered();
 }
 
 } // namespace
@@ -130,14 +132,14 @@
 
 void flushLog()
 {
-    const std::lock_guard<std::mutex> lock(bufferGuard);
-    writeHeld();
+    const std::lock_guard<std::mutex> lock(bufferMutex);
+    writeBuffered();
 }
 
-std::uint64_t linesLeftOut()
+std::uint64_t droppedLogLines()
 {
-    const std::lock_guard<std::mutex> lock(bufferGuard);
-    return buffer.leftOut;
+    const std::lock_guard<std::mutex> lock(bufferMutex);
+    return buffer.droppedLines;
 }
 
 } // namespace azurewell
--- a/packages/logging/src/log_buffer.cpp
+++ b/packages/logging/src/log_buffer.cpp
@@ -7,16 +7,16 @@
 
 bool addLine(LogBuffer &buffer, std::string_view line, bool isUrgent, Instant now)
 {
-    const double gained = buffer.budgetAt.micros == 0
-            ? mostSavedBytes
-            : toSeconds(now - buffer.budgetAt) * bytesPerSecond;
-    buffer.budget = std::min(buffer.budget + gained, mostSavedBytes);
+    const double refill = buffer.budgetAt.micros == 0
+            ? maxBurstBytes
+            : toSeconds(now - buffer.budgetAt) * sustainedBytesPerSecond;
+    buffer.budget = std::min(buffer.budget + refill, maxBurstBytes);
     buffer.budgetAt = now;
     const double size = static_cast<double>(line.size());
-    const double kept = isUrgent ? 0 : keptForUrgent;
-    if (buffer.budget - size < kept || buffer.bytes.size() + line.size() > mostHeldBytes) {
-        ++buffer.leftOut;
-        ++buffer.untold;
+    const double reserved = isUrgent ? 0 : reservedForUrgentBytes;
+    if (buffer.budget - size < reserved || buffer.bytes.size() + line.size() > maxBufferedBytes) {
+        ++buffer.droppedLines;
+        ++buffer.unreportedLines;
         return false;
     }
     buffer.budget -= size;
@@ -24,9 +24,9 @@
     return true;
 }
 
-std::uint64_t takeUntold(LogBuffer &buffer)
+std::uint64_t takeUnreportedLines(LogBuffer &buffer)
 {
-    return std::exchange(buffer.untold, 0);
+    return std::exchange(buffer.unreportedLines, 0);
 }
 
 } // namespace azurewell
--- a/packages/logging/src/log_line.cpp
+++ b/packages/logging/src/log_line.cpp
@@ -18,7 +18,7 @@
     return false;
 }
 
-/// Takes the next word off \a text; a quoted value belongs to its word.
+/// Removes the next word from \a text and returns it; a quoted value is part of its word.
 std::string_view takeWord(std::string_view &text)
 {
     const std::size_t begin = text.find_first_not_of(' ');
--- a/packages/logging/src/request_summary.cpp
+++ b/packages/logging/src/request_summary.cpp
@@ -7,27 +7,27 @@
 std::string outcomeOfAnswer(const LogLine &line, const Expectation &expected)
 {
     if (numberOf(line, "first_ms") > expected.firstMillis) {
-        const bool wasHeld = numberOf(line, "sent_ms") > expected.firstMillis / 2;
-        return wasHeld ? "late_sent" : "late_read";
+        const bool wasSentLate = numberOf(line, "sent_ms") > expected.firstMillis / 2;
+        return wasSentLate ? "late_sent" : "late_read";
     }
     return numberOf(line, "pause_ms") > expected.pauseMillis ? "late_pause" : "in_time";
 }
 
 std::string outcomeOfRefusal(const LogLine &line, const Expectation &expected)
 {
-    constexpr long earlyPart = 8;
-    const bool isEarly = numberOf(line, "after_ms") <= expected.firstMillis / earlyPart;
+    constexpr long earlyDivisor = 8;
+    const bool isEarly = numberOf(line, "after_ms") <= expected.firstMillis / earlyDivisor;
     return "refused_" + std::string(fieldOf(line, "code")) + (isEarly ? "_early" : "_waited");
 }
 
-/// The first part of a path, which is that of its route; the rest is the caller's own.
-std::string firstPart(std::string_view path)
+/// The first segment of a path, which identifies the route; the caller chooses the rest.
+std::string firstSegment(std::string_view path)
 {
     const std::size_t end = path.find('/', 1);
     return std::string(path.substr(0, end == std::string_view::npos ? path.size() : end + 1));
 }
 
-void countLost(RequestSummary::Counts &counts, std::string_view name)
+void countFailure(RequestSummary::Counts &counts, std::string_view name)
 {
     if (!name.empty())
         ++counts[std::string(name)];
@@ -54,11 +54,11 @@
     const std::string outcome = outcomeOf(*line, expected);
     if (outcome.empty())
         return;
-    ++summary.byPath[firstPart(fieldOf(*line, "path"))][outcome];
+    ++summary.byPath[firstSegment(fieldOf(*line, "path"))][outcome];
     if (outcome == "in_time")
         return;
-    countLost(summary.lostAtUpstream, fieldOf(*line, "upstream"));
-    countLost(summary.lostOfAdapter, fieldOf(*line, "adapter"));
+    countFailure(summary.lostAtUpstream, fieldOf(*line, "upstream"));
+    countFailure(summary.lostOfAdapter, fieldOf(*line, "adapter"));
 }
 
 } // namespace azurewell
--- a/packages/logging/tests/log_buffer_test.cpp
+++ b/packages/logging/tests/log_buffer_test.cpp
@@ -7,10 +7,10 @@
 
 const std::string line(150, 'x');
 
-TEST(LogBuffer, KeepsRoomForUrgentLinesInAFlood)
+TEST(LogBuffer, ReservesCapacityForUrgentLinesInAFlood)
 {
-    // A burst of ordinary lines comes within a moment, and then a failure has to be told. Without
-    // room kept for it, the one line that explains the burst would be the one left out.
+    // Guards against dropping the one line that explains a failure because a burst of ordinary
+    // lines has used up the budget.
     LogBuffer buffer;
     const Instant now{ 1'000'000 };
     int written = 0;
@@ -19,23 +19,23 @@
     EXPECT_GT(written, 100);
     EXPECT_LT(written, 1000);
     EXPECT_TRUE(addLine(buffer, line, true, now));
-    EXPECT_EQ(buffer.leftOut, static_cast<std::uint64_t>(10'000 - written));
+    EXPECT_EQ(buffer.droppedLines, static_cast<std::uint64_t>(10'000 - written));
 }
 
-TEST(LogBuffer, HoldsABoundedAmountForAReaderThatStopped)
+TEST(LogBuffer, StaysBoundedWhileStandardOutputIsNotRead)
 {
-    // The reader of standard output stops for an hour while lines go on. Memory stays bounded and
-    // what was left out is counted.
+    // Guards against unbounded memory while nothing reads standard output for an hour and lines
+    // keep coming. Dropped lines are counted.
     LogBuffer buffer;
     Instant now{ 1'000'000 };
     for (int i = 0; i < 36'000; ++i) {
         now = now + std::chrono::milliseconds(100);
         addLine(buffer, line, true, now);
     }
-    EXPECT_LE(buffer.bytes.size(), mostHeldBytes);
-    EXPECT_GT(buffer.leftOut, 0U);
-    EXPECT_EQ(takeUntold(buffer), buffer.leftOut);
-    EXPECT_EQ(takeUntold(buffer), 0U);
+    EXPECT_LE(buffer.bytes.size(), maxBufferedBytes);
+    EXPECT_GT(buffer.droppedLines, 0U);
+    EXPECT_EQ(takeUnreportedLines(buffer), buffer.droppedLines);
+    EXPECT_EQ(takeUnreportedLines(buffer), 0U);
 }
 
 } // namespace
--- a/packages/logging/tests/request_summary_test.cpp
+++ b/packages/logging/tests/request_summary_test.cpp
@@ -14,7 +14,7 @@
             + " pause_ms=" + std::to_string(pause) + " whole_ms=2000";
 }
 
-TEST(LogLine, ReadsQuotedValuesAndPassesOverWhatACollectorPutBefore)
+TEST(LogLine, ParsesQuotedValuesAndSkipsTheCollectorsPrefix)
 {
     const std::optional<LogLine> line = readLogLine(
             "  12.5 edge-1 2026-08-26T19:09:04.070Z warning request_unreadable reason=bad "
@@ -28,14 +28,14 @@
     EXPECT_EQ(fieldOf(*line, "missing"), "");
 }
 
-TEST(LogLine, OfAnotherProgramIsNone)
+TEST(LogLine, TextOfAnotherProgramIsNotALogLine)
 {
     EXPECT_FALSE(readLogLine(""));
     EXPECT_FALSE(readLogLine("terminate called after throwing"));
     EXPECT_FALSE(readLogLine("information request_answered"));
 }
 
-TEST(RequestSummary, TellsWhyAnswersWereLate)
+TEST(RequestSummary, ClassifiesLateAnswers)
 {
     const Expectation expected;
     EXPECT_EQ(outcomeOf(*readLogLine(answered(10, 300, 200)), expected), "in_time");
@@ -44,7 +44,7 @@
     EXPECT_EQ(outcomeOf(*readLogLine(answered(10, 300, 900)), expected), "late_pause");
 }
 
-TEST(RequestSummary, CountsRefusalsByCodeAndByWhetherTheyCameEarly)
+TEST(RequestSummary, CountsRefusalsByCodeAndWhetherTheyWereEarly)
 {
     RequestSummary summary;
     const Expectation expected;
--- a/packages/proxy/include/azurewell/proxy/gossip_socket.h
+++ b/packages/proxy/include/azurewell/proxy/gossip_socket.h
@@ -11,15 +11,15 @@
 
 namespace azurewell {
 
-/// The UDP socket for messages between hosts.
+/// The UDP socket for gossip messages between hosts.
 class GossipSocket
 {
 public:
-    /// Errors: SettingsInvalid where \a own cannot be bound.
+    /// Opens the socket on \a own. Errors: SettingsInvalid if it cannot be bound.
     static Result<std::unique_ptr<GossipSocket>> open(
             const Endpoint &own, std::function<void(const gateway::Gossip &)> onMessage);
 
-    /// The bytes of the message; 0 where it was not sent.
+    /// Returns the size of the sent message in bytes; 0 if it was not sent.
     std::size_t send(const gateway::SendGossip &gossip, Instant now);
 
     std::uint64_t droppedMessages() const
@@ -34,9 +34,9 @@
     UniqueFd descriptor;
     std::function<void(const gateway::Gossip &)> handler;
     QSocketNotifier notifier;
-    std::shared_ptr<const gateway::Gossip> encoded; ///< The message of `bytes`.
+    std::shared_ptr<const gateway::Gossip> encoded; ///< The message that `bytes` encodes.
     std::string bytes;
-    std::uint64_t dropped = 0; ///< Could not be sent or read.
+    std::uint64_t dropped = 0; ///< Messages that could not be sent or decoded.
 };
 
 } // namespace azurewell
--- a/packages/proxy/include/azurewell/proxy/http_call.h
+++ b/packages/proxy/include/azurewell/proxy/http_call.h
@@ -9,18 +9,19 @@
 
 namespace azurewell {
 
-/// A whole answer to a small call.
+/// The complete answer to a call.
 struct CallAnswer
 {
     ResponseHead head;
     std::string body;
 };
 
-/// Small calls whose answers are read whole: reports, orders, the platform.
+/// HTTP calls with small, fully buffered answers: engine reports, engine orders, the platform's
+/// store.
 class HttpCalls
 {
 public:
-    /// Called once; empty where no whole answer came in time.
+    /// Called once; empty if no complete answer arrived before the deadline.
     using Handler = std::function<void(std::optional<CallAnswer>)>;
 
     explicit HttpCalls(UpstreamConnections &shared)
@@ -28,14 +29,14 @@
     {
     }
 
-    /// Sends \a request. The handler is called by \a deadline at the latest. A new connection has
-    /// to open within \a openWithin.
+    /// Sends \a request. The handler is called at the first cancelOverdue() after \a deadline at
+    /// the latest. A new connection must open within \a connectTimeout.
     void start(const Endpoint &to, const std::string &request, Instant deadline, Handler handler,
-               Instant now, Span openWithin = openingPatience);
+               Instant now, Span connectTimeout = defaultConnectTimeout);
 
-    /// Ends calls whose deadline has passed, with their connections: one that went silent for good
-    /// is never used again.
-    void endOverdue(Instant now);
+    /// Fails calls whose deadline has passed and closes their connections, so that an unresponsive
+    /// connection is not reused.
+    void cancelOverdue(Instant now);
 
 private:
     struct Call
--- a/packages/proxy/include/azurewell/proxy/proxy.h
+++ b/packages/proxy/include/azurewell/proxy/proxy.h
@@ -15,7 +15,7 @@
 
 namespace azurewell {
 
-/// Where a host listens, and who it is.
+/// The identity of a host and the addresses on which it listens.
 struct ProxySettings
 {
     gateway::Identity self;
@@ -25,7 +25,7 @@
     std::string chartsDirectory;
 };
 
-/// The sockets of one host round the gateway core: callers, upstreams, other hosts.
+/// The sockets of one host, which connect the gateway core to callers, upstreams and other hosts.
 class Proxy
 {
 public:
@@ -34,7 +34,8 @@
     /// Opens the sockets. Errors: SettingsInvalid, FileUnreadable, ChartInvalid.
     Result<void> start();
 
-    /// Takes no new connections for long, lets what runs end, then leaves the event loop.
+    /// Starts a graceful stop: accepts connections until the load balancer has stopped sending
+    /// them, waits for open requests within the grace period, then quits the event loop.
     void stop();
 
     gateway::GatewayState &state()
@@ -46,67 +47,67 @@
         return this->httpCalls;
     }
 
-    /// \a handler is called at each tick, before the core: one timer wakes the thread for both.
-    void callAtEachTick(std::function<void()> handler)
+    /// \a handler is called at each tick before the core, so that one timer serves both.
+    void setTickHandler(std::function<void()> handler)
     {
         this->onTick = std::move(handler);
     }
 
-    /// Carries out what the core asked for.
+    /// Executes the actions that the core has returned.
     void run(gateway::Actions &actions);
 
 private:
     using SessionId = std::uint64_t;
 
-    /// A request between its arrival and its final answer.
+    /// A request from its arrival until its final answer.
     struct OpenRequest
     {
         SessionId session = 0;
-        std::string callerId; ///< As the caller names it; for the log.
+        std::string callerId; ///< The caller's request id, for the log.
         std::string path;
         gateway::ModelName model;
         Tokens promptTokens;
         std::uint32_t attempt = 0;
         UpstreamConnections::Exchange exchange = 0;
         bool isAtUpstream = false;
-        bool isHeldBack = false;
-        bool hasBegun = false; ///< The head of the answer has been sent to the caller.
-        bool isPaused = false; ///< The upstream is not read, as the caller is slow.
+        bool isHeldBack = false; ///< The answer is buffered, so that a retry can replace it.
+        bool isHeadSent = false; ///< The head of the answer has been sent to the caller.
+        bool isPaused = false;   ///< Reading from the upstream is paused, as the caller is slow.
         ReplyFacts facts;
         ResponseHead head;
-        std::string body; ///< Held back.
+        std::string body; ///< The buffered body while isHeldBack.
         UpstreamId upstream;
         Instant arrivedAt;
         Instant sentAt;
-        Instant firstByteAt; ///< Of a stream.
-        Instant lastPieceAt; ///< Of a stream: when its last piece came.
-        Span longestPause{}; ///< Between two pieces of a stream.
+        Instant firstByteAt; ///< First body bytes of a stream sent to the caller.
+        Instant lastChunkAt; ///< Most recent body bytes of a stream received.
+        Span longestPause{}; ///< Longest time between two chunks of a stream.
     };
 
     void accept(UniqueFd descriptor);
-    void arrive(SessionId id);
-    void refuseUnread(SessionId id, const Error &error);
-    void callerLeft(SessionId id);
-    void callerDrained(SessionId id);
+    void handleRequest(SessionId id);
+    void refuseMalformed(SessionId id, const Error &error);
+    void handleCallerDisconnect(SessionId id);
+    void handleCallerDrained(SessionId id);
 
     void dispatch(const gateway::Dispatch &dispatch);
-    void takeHead(gateway::RequestNumber request, const ResponseHead &head);
-    void takeBody(gateway::RequestNumber request, const std::string &body);
+    void handleHead(gateway::RequestNumber request, const ResponseHead &head);
+    void handleBody(gateway::RequestNumber request, const std::string &body);
     void complete(gateway::RequestNumber request);
     void fail(gateway::RequestNumber request, ExchangeFailure failure);
     void endAttempt(gateway::RequestNumber request, gateway::AttemptOutcome outcome,
                     bool isCutOff = false);
-    void answerWhole(OpenRequest &open);
-    void noteAnswered(const OpenRequest &request);
+    void answerBuffered(OpenRequest &open);
+    void recordAnswer(const OpenRequest &request);
 
     void refuse(const gateway::Refuse &refusal);
     void order(const gateway::OrderEngine &order);
-    void askReport(const gateway::AskReport &ask);
+    void requestReport(const gateway::AskReport &ask);
     void tick();
-    void closeLateCallers(Instant now);
-    void endStopping(Instant now);
-    void acceptOperations(UniqueFd descriptor);
-    void answerOperations(SessionId id);
+    void closeTimedOutCallers(Instant now);
+    void continueStop(Instant now);
+    void acceptMonitoring(UniqueFd descriptor);
+    void answerMonitoring(SessionId id);
 
     ProxySettings settings;
     const WireFormat &format;
@@ -119,7 +120,7 @@
     std::unique_ptr<TcpAcceptor> readiness;
     std::unique_ptr<TcpAcceptor> metricsListener;
     std::map<SessionId, std::unique_ptr<CallerConnection>> sessions;
-    std::map<SessionId, std::unique_ptr<CallerConnection>> operations;
+    std::map<SessionId, std::unique_ptr<CallerConnection>> monitoringSessions;
     std::map<SessionId, gateway::RequestNumber> requestOf;
     std::unordered_map<gateway::RequestNumber, OpenRequest> open;
     std::function<void()> onTick;
--- a/packages/proxy/include/azurewell/proxy/proxy_metrics.h
+++ b/packages/proxy/include/azurewell/proxy/proxy_metrics.h
@@ -8,7 +8,7 @@
 
 namespace azurewell {
 
-/// Times in seconds of one kind.
+/// A histogram of durations in seconds.
 struct TimeHistogram
 {
     using Buckets = decltype(boost::histogram::make_histogram(
@@ -22,20 +22,20 @@
     std::uint64_t count = 0;
 };
 
-/// What the sockets measure beside the core's counters.
+/// Metrics of the socket layer, in addition to the core's counters.
 struct ProxyMetrics
 {
-    TimeHistogram toFirstByte;   ///< From a request's arrival to the first byte of its answer.
-    TimeHistogram whole;         ///< From arrival to the end of the answer.
-    TimeHistogram betweenPieces; ///< Of a stream.
-    TimeHistogram placing;       ///< From arrival to being sent to an upstream.
-    TimeHistogram reports;       ///< Of engines: from asking to the answer.
+    TimeHistogram timeToFirstByte;   ///< From a request's arrival to the first byte of its answer.
+    TimeHistogram requestDuration;   ///< From arrival to the end of the answer.
+    TimeHistogram timeBetweenChunks; ///< Between two chunks of a stream.
+    TimeHistogram timeToDispatch;    ///< From arrival to the first dispatch to an upstream.
+    TimeHistogram reportDuration;    ///< Engine reports: from the request to the answer.
     std::uint64_t callersAccepted = 0;
     std::uint64_t badRequests = 0;
-    std::uint64_t wakeUps = 0; ///< Of the control thread.
+    std::uint64_t wakeUps = 0; ///< Wake-ups of the control thread's event loop.
 };
 
-/// The text of the metrics address, in the format that Prometheus reads (docs/METRICS.md).
+/// The metrics in the Prometheus text format (docs/METRICS.md).
 std::string metricsText(const gateway::GatewayState &state, const ProxyMetrics &metrics,
                         std::size_t upstreamConnections, std::size_t callers, Instant now);
 
--- a/packages/proxy/include/azurewell/proxy/wire_format.h
+++ b/packages/proxy/include/azurewell/proxy/wire_format.h
@@ -12,26 +12,26 @@
 
 namespace azurewell {
 
-/// What the head of an upstream's answer says.
+/// Facts decoded from the head of an upstream's answer.
 struct ReplyFacts
 {
-    bool isNotRun = false;   ///< The upstream did not run the request.
-    bool isNotThere = false; ///< The same: it does not have the model, or it is another one.
-    bool isFault = false;    ///< The upstream states a fault of its own.
-    bool isAttested = false; ///< It bears the upstream's signature.
+    bool isNotRun = false;      ///< The upstream did not run the request.
+    bool isMisdirected = false; ///< Not run: no such model there, or another instance.
+    bool isFault = false;       ///< The upstream reports an error of its own.
+    bool isAttested = false;    ///< The upstream produced this answer itself: it is signed.
     std::optional<gateway::StatedLoad> load;
-    double limitPerSecond = 0; ///< See readLimit.
+    double limitPerSecond = 0; ///< Requests per second, see readLimit; 0: not stated.
 };
 
-/// How callers and upstreams speak. Functions over plain structs; an adapter fills the table, and
-/// nothing else in the program knows a name of the wire.
+/// The wire protocol towards callers and upstreams, as a table of functions over plain structs. A
+/// platform adapter fills the table; no other part of the program knows header names or paths.
 struct WireFormat
 {
-    /// What a caller's request asks for; without its number. Errors: MalformedRequest.
-    Result<gateway::RequestArrived> (*readRequest)(const RequestLine &line);
+    /// Decodes a caller's request, without its number. Errors: MalformedRequest, KeyInWrongPlace.
+    Result<gateway::RequestArrived> (*readRequest)(const RequestHead &line);
 
-    /// The headers of the request as the upstream gets it.
-    std::vector<HttpHeader> (*upstreamHeaders)(const RequestLine &line,
+    /// The headers of the request that is sent to the upstream.
+    std::vector<HttpHeader> (*upstreamHeaders)(const RequestHead &line,
                                                const gateway::Dispatch &dispatch);
 
     /// Whether an answer belongs to the request with \a callerId.
@@ -39,17 +39,17 @@
 
     ReplyFacts (*readReply)(const ResponseHead &head);
 
-    /// The requests a second that the upstream takes from all hosts together; 0: it names none.
+    /// The requests per second that the upstream accepts from all hosts together; 0: not stated.
     double (*readLimit)(const ResponseHead &head);
 
-    /// A whole request that asks \a engine what it holds.
+    /// A complete request for the report of an engine's state.
     std::string (*reportRequest)(const gateway::AskReport &ask);
-    /// Empty where the answer is not of \a engine or cannot be read.
+    /// Decodes a report; empty if it is from another engine or cannot be decoded.
     std::optional<gateway::EngineState> (*readReport)(const gateway::AskReport &ask,
                                                       const ResponseHead &head,
                                                       std::string_view body);
 
-    /// A whole request that gives an order in the name of \a self.
+    /// A complete request that sends an order with \a self as its owner.
     std::string (*orderRequest)(const gateway::OrderEngine &order, const HostId &self);
     gateway::OrderOutcome (*readOrderAnswer)(const ResponseHead &head);
 };
--- a/packages/proxy/src/content_digest.cpp
+++ b/packages/proxy/src/content_digest.cpp
@@ -10,7 +10,7 @@
 ContentDigest contentDigest(std::string_view target, std::string_view body)
 {
     QCryptographicHash hash(QCryptographicHash::Blake2b_160);
-    // A target holds no NUL: no two pairs of target and body read the same.
+    // A target contains no NUL, so the separator keeps different pairs of target and body distinct.
     constexpr char end = 0;
     hash.addData(QByteArrayView(target.data(), static_cast<qsizetype>(target.size())));
     hash.addData(QByteArrayView(&end, 1));
--- a/packages/proxy/src/gossip_socket.cpp
+++ b/packages/proxy/src/gossip_socket.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-/// The largest datagram of UDP over IPv4.
-constexpr std::size_t mostDatagramBytes = 65507;
+/// The maximum payload of a UDP datagram over IPv4.
+constexpr std::size_t maxDatagramBytes = 65507;
 
-/// Datagrams read before other events get a turn.
-constexpr int mostReadsInARow = 64;
+/// Datagrams read per event, so that other events are not delayed.
+constexpr int maxReadsPerEvent = 64;
 
 bool fillAddress(sockaddr_in &address, const Endpoint &endpoint)
 {
@@ -40,7 +40,7 @@
         || ::bind(socket.get(), reinterpret_cast<const sockaddr *>(&address), sizeof address)
                 != 0) {
         return Error{ ResultCode::SettingsInvalid,
-                      own.ip + ":" + std::to_string(own.port) + ": cannot be bound for UDP" };
+                      own.ip + ":" + std::to_string(own.port) + ": cannot bind UDP socket" };
     }
     return std::unique_ptr<GossipSocket>(new GossipSocket(std::move(socket), std::move(onMessage)));
 }
@@ -66,7 +66,7 @@
     }
     const ssize_t sent = ::sendto(this->descriptor.get(), this->bytes.data(), this->bytes.size(), 0,
                                   reinterpret_cast<const sockaddr *>(&address), sizeof address);
-    // A lost message is made good by the next one; the counter shows a link that takes none.
+    // The next message makes up for a lost one; the counter reveals a link that accepts none.
     if (sent >= 0)
         return this->bytes.size();
     ++this->dropped;
@@ -75,8 +75,8 @@
 
 void GossipSocket::receive()
 {
-    static std::array<char, mostDatagramBytes> block;
-    for (int i = 0; i < mostReadsInARow; ++i) {
+    static std::array<char, maxDatagramBytes> block;
+    for (int i = 0; i < maxReadsPerEvent; ++i) {
         const ssize_t count = ::recv(this->descriptor.get(), block.data(), block.size(), 0);
         if (count < 0)
             return;
--- a/packages/proxy/src/http_call.cpp
+++ b/packages/proxy/src/http_call.cpp
@@ -3,7 +3,7 @@
 namespace azurewell {
 
 void HttpCalls::start(const Endpoint &to, const std::string &request, Instant deadline,
-                      Handler handler, Instant now, Span openWithin)
+                      Handler handler, Instant now, Span connectTimeout)
 {
     const auto call = this->calls.emplace(this->calls.end());
     call->deadline = deadline;
@@ -21,11 +21,11 @@
     handlers.onFailure = [this, call](ExchangeFailure) {
         this->finish(call, false);
     };
-    handlers.isOwn = [](const ResponseHead &) {
+    handlers.matchesRequest = [](const ResponseHead &) {
         return true;
     };
     call->exchange = this->connections.start(to, request, false, std::move(handlers), now,
-                                             openWithin);
+                                             connectTimeout);
 }
 
 void HttpCalls::finish(std::list<Call>::iterator call, bool isWhole)
@@ -39,7 +39,7 @@
         handler(std::nullopt);
 }
 
-void HttpCalls::endOverdue(Instant now)
+void HttpCalls::cancelOverdue(Instant now)
 {
     for (auto call = this->calls.begin(); call != this->calls.end();) {
         const auto next = std::next(call);
--- a/packages/proxy/src/proxy.cpp
+++ b/packages/proxy/src/proxy.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// After a stop was asked for, the balancer notices within two looks a second apart; new
-/// connections still come until then and are served.
-constexpr Span balancerNotices = std::chrono::milliseconds(3500);
+/// Time until the load balancer has noticed a stop: it needs two health checks, one second apart.
+/// New connections that arrive until then are served.
+constexpr Span loadBalancerDelay = std::chrono::milliseconds(3500);
 
-/// Before the end of the grace the process leaves by itself.
-constexpr Span leavesBefore = std::chrono::milliseconds(250);
+/// The process exits by itself this long before the grace period ends.
+constexpr Span exitMargin = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -50,18 +50,19 @@
         return callerSocket.error();
     this->callers = std::make_unique<TcpAcceptor>(
             std::move(callerSocket.value()), [this](UniqueFd fd) { this->accept(std::move(fd)); });
-    Result<UniqueFd> readySocket = openListenSocket(this->settings.readiness);
-    if (!readySocket)
-        return readySocket.error();
-    const auto onOperations = [this](UniqueFd fd) {
-        this->acceptOperations(std::move(fd));
+    Result<UniqueFd> readinessSocket = openListenSocket(this->settings.readiness);
+    if (!readinessSocket)
+        return readinessSocket.error();
+    const auto onMonitoring = [this](UniqueFd fd) {
+        this->acceptMonitoring(std::move(fd));
     };
-    this->readiness = std::make_unique<TcpAcceptor>(std::move(readySocket.value()), onOperations);
+    this->readiness = std::make_unique<TcpAcceptor>(std::move(readinessSocket.value()),
+                                                    onMonitoring);
     Result<UniqueFd> metricsSocket = openListenSocket(this->settings.metrics);
     if (!metricsSocket)
         return metricsSocket.error();
     this->metricsListener = std::make_unique<TcpAcceptor>(std::move(metricsSocket.value()),
-                                                          onOperations);
+                                                          onMonitoring);
     QObject::connect(QAbstractEventDispatcher::instance(), &QAbstractEventDispatcher::awake,
                      &this->ticker, [this] { ++this->metrics.wakeUps; });
     QObject::connect(&this->ticker, &QTimer::timeout, [this] { this->tick(); });
@@ -72,7 +73,7 @@
 
 void Proxy::run(Actions &actions)
 {
-    // Handlers of exchanges are never called from within start(), so nothing is added meanwhile.
+    // Exchange handlers are never called from within start(), so the loops add no actions.
     for (const CancelAttempt &cancel : actions.cancels) {
         const auto found = this->open.find(cancel.request);
         if (found != this->open.end() && std::exchange(found->second.isAtUpstream, false))
@@ -85,7 +86,7 @@
     for (const OrderEngine &toGive : actions.orders)
         this->order(toGive);
     for (const AskReport &ask : actions.reports)
-        this->askReport(ask);
+        this->requestReport(ask);
     const Instant now = monotonicNow();
     for (const SendGossip &message : actions.gossip) {
         const std::size_t bytes = this->gossip->send(message, now);
@@ -108,12 +109,12 @@
     Actions actions;
     gateway::tick(this->core, wallMillis(), now, actions);
     this->run(actions);
-    this->httpCalls.endOverdue(now);
-    this->connections.closeLate(now);
-    this->closeLateCallers(now);
+    this->httpCalls.cancelOverdue(now);
+    this->connections.closeExpired(now);
+    this->closeTimedOutCallers(now);
     flushLog();
     if (isStopping(this->core))
-        this->endStopping(now);
+        this->continueStop(now);
 }
 
 void Proxy::stop()
@@ -127,15 +128,16 @@
     this->run(actions);
 }
 
-void Proxy::endStopping(Instant now)
+void Proxy::continueStop(Instant now)
 {
     const Span waited = now - this->core.stopAskedAt;
-    if (waited < balancerNotices)
+    if (waited < loadBalancerDelay)
         return;
     for (const auto &[id, session] : this->sessions)
         session->close(!session->hasBegun());
-    const bool isLast = waited >= this->settings.self.stopGrace - leavesBefore;
-    const bool isSettled = this->open.empty() && waited >= balancerNotices + balancerNotices / 3;
+    const bool isLast = waited >= this->settings.self.stopGrace - exitMargin;
+    const bool isSettled = this->open.empty()
+            && waited >= loadBalancerDelay + loadBalancerDelay / 3;
     if (!isLast && !isSettled)
         return;
     writeLog(LogLevel::Info, "stopped", { { "open_requests", std::to_string(this->open.size()) } });
@@ -143,28 +145,29 @@
     QCoreApplication::quit();
 }
 
-void Proxy::acceptOperations(UniqueFd descriptor)
+void Proxy::acceptMonitoring(UniqueFd descriptor)
 {
     const SessionId id = this->nextSession++;
     CallerConnection::Handlers handlers;
     handlers.onRequest = [this, id] {
-        this->answerOperations(id);
+        this->answerMonitoring(id);
     };
     handlers.onBadRequest = [this, id](const Error &error) {
         const int status = infoOf(error.code).httpStatus;
-        this->operations.at(id)->answer(status, reasonPhrase(status), {}, {}, monotonicNow());
+        this->monitoringSessions.at(id)->answer(status, reasonPhrase(status), {}, {},
+                                                monotonicNow());
     };
-    handlers.onLeft = [] {
+    handlers.onDisconnected = [] {
     };
     handlers.onDrained = [] {
     };
-    this->operations[id] = std::make_unique<CallerConnection>(
+    this->monitoringSessions[id] = std::make_unique<CallerConnection>(
             std::move(descriptor), RequestLimits{}, std::move(handlers), monotonicNow());
 }
 
-void Proxy::answerOperations(SessionId id)
+void Proxy::answerMonitoring(SessionId id)
 {
-    CallerConnection &session = *this->operations.at(id);
+    CallerConnection &session = *this->monitoringSessions.at(id);
     const Instant now = monotonicNow();
     if (session.request().target.ends_with("/metrics")) {
         session.answer(200, "OK", { { "Content-Type", "text/plain; version=0.0.4" } },
--- a/packages/proxy/src/proxy_callers.cpp
+++ b/packages/proxy/src/proxy_callers.cpp
@@ -16,29 +16,29 @@
     const CallerLimits &limits = this->core.configuration.limits;
     CallerConnection::Handlers handlers;
     handlers.onRequest = [this, id] {
-        this->arrive(id);
+        this->handleRequest(id);
     };
     handlers.onBadRequest = [this, id](const Error &error) {
-        this->refuseUnread(id, error);
+        this->refuseMalformed(id, error);
     };
-    handlers.onLeft = [this, id] {
-        this->callerLeft(id);
+    handlers.onDisconnected = [this, id] {
+        this->handleCallerDisconnect(id);
     };
     handlers.onDrained = [this, id] {
-        this->callerDrained(id);
+        this->handleCallerDrained(id);
     };
     this->sessions[id] = std::make_unique<CallerConnection>(
             std::move(descriptor), RequestLimits{ limits.headBytes, limits.bodyBytes },
             std::move(handlers), monotonicNow());
 }
 
-void Proxy::arrive(SessionId id)
+void Proxy::handleRequest(SessionId id)
 {
     const Instant now = monotonicNow();
     CallerConnection &session = *this->sessions.at(id);
     Result<RequestArrived> facts = this->format.readRequest(session.request());
     if (!facts) {
-        this->refuseUnread(id, facts.error());
+        this->refuseMalformed(id, facts.error());
         return;
     }
     const RequestNumber number{ this->nextRequest++ };
@@ -59,7 +59,7 @@
     this->run(actions);
 }
 
-void Proxy::refuseUnread(SessionId id, const Error &error)
+void Proxy::refuseMalformed(SessionId id, const Error &error)
 {
     ++this->metrics.badRequests;
     const int status = infoOf(error.code).httpStatus;
@@ -71,7 +71,7 @@
                    refusalBody(error.code, true), monotonicNow());
 }
 
-void Proxy::callerLeft(SessionId id)
+void Proxy::handleCallerDisconnect(SessionId id)
 {
     const auto request = this->requestOf.find(id);
     if (request == this->requestOf.end())
@@ -84,7 +84,7 @@
     this->requestOf.erase(id);
 }
 
-void Proxy::callerDrained(SessionId id)
+void Proxy::handleCallerDrained(SessionId id)
 {
     const auto request = this->requestOf.find(id);
     if (request == this->requestOf.end())
@@ -94,15 +94,15 @@
         this->connections.pauseReading(waiting.exchange, false);
 }
 
-void Proxy::closeLateCallers(Instant now)
+void Proxy::closeTimedOutCallers(Instant now)
 {
     const CallerLimits &limits = this->core.configuration.limits;
-    const CallerPatience patience{ limits.headPatience, limits.idlePatience };
+    const CallerTimeouts timeouts{ limits.headPatience, limits.idlePatience };
     std::erase_if(this->sessions, [&](const auto &entry) {
-        return entry.second->isFinished(now) || entry.second->isLate(patience, now);
+        return entry.second->isFinished(now) || entry.second->isTimedOut(timeouts, now);
     });
-    std::erase_if(this->operations, [&](const auto &entry) {
-        return entry.second->isFinished(now) || entry.second->isLate(patience, now);
+    std::erase_if(this->monitoringSessions, [&](const auto &entry) {
+        return entry.second->isFinished(now) || entry.second->isTimedOut(timeouts, now);
     });
 }
 
--- a/packages/proxy/src/proxy_engines.cpp
+++ b/packages/proxy/src/proxy_engines.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Answers to reports and orders are waited for so long: they come within milliseconds, and
-/// one that takes longer is a connection that went silent.
-constexpr Span callPatience = std::chrono::milliseconds(1200);
+/// Timeout of report and order calls. Answers arrive within milliseconds, so a call that
+/// takes longer is on an unresponsive connection.
+constexpr Span callTimeout = std::chrono::milliseconds(1200);
 
-/// The right to order is checked when an order is given. One that would leave later than this is
-/// not sent: another host may order there by then, 650 ms after it has noticed that this one is
-/// silent.
-constexpr Span orderOpensWithin = std::chrono::milliseconds(200);
+/// Whether this host coordinates the engine is checked when an order is issued. An order whose
+/// connection takes longer to open is not sent: another host may be the coordinator by then, 650 ms
+/// after it has noticed that this one is unreachable.
+constexpr Span orderConnectTimeout = std::chrono::milliseconds(200);
 
 std::string_view nameOf(OrderOutcome outcome)
 {
@@ -56,10 +56,10 @@
         this->run(actions);
     };
     this->httpCalls.start(toGive.address, this->format.orderRequest(toGive, this->settings.self.id),
-                          now + callPatience, onAnswer, now, orderOpensWithin);
+                          now + callTimeout, onAnswer, now, orderConnectTimeout);
 }
 
-void Proxy::askReport(const AskReport &ask)
+void Proxy::requestReport(const AskReport &ask)
 {
     const Instant askedAt = monotonicNow();
     const auto onAnswer = [this, ask, askedAt](std::optional<CallAnswer> answer) {
@@ -67,7 +67,7 @@
         if (answer)
             read.state = this->format.readReport(ask, answer->head, answer->body);
         const Instant now = monotonicNow();
-        this->metrics.reports.add(now - askedAt);
+        this->metrics.reportDuration.add(now - askedAt);
         Actions actions;
         if (answer) {
             const double limit = this->format.readLimit(answer->head);
@@ -76,7 +76,7 @@
         handle(this->core, read, now, actions);
         this->run(actions);
     };
-    this->httpCalls.start(ask.address, this->format.reportRequest(ask), askedAt + callPatience,
+    this->httpCalls.start(ask.address, this->format.reportRequest(ask), askedAt + callTimeout,
                           onAnswer, askedAt);
 }
 
--- a/packages/proxy/src/proxy_metrics.cpp
+++ b/packages/proxy/src/proxy_metrics.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// From a request on a warm connection to the longest deadline of a caller, in seconds.
+/// Upper bounds in seconds, from a request on a warm connection to the longest deadline of a
+/// caller.
 const std::vector<double> bucketEdges{
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32
 };
@@ -123,12 +124,12 @@
     addCounter(out, "azurewell_host_messages_received_total", counters.gossipReceived);
     addCounter(out, "azurewell_engine_looks_total", counters.engineLooks);
     addCounter(out, "azurewell_wake_ups_total", metrics.wakeUps);
-    addCounter(out, "azurewell_log_lines_left_out_total", linesLeftOut());
-    addHistogram(out, "azurewell_first_byte_seconds", metrics.toFirstByte);
-    addHistogram(out, "azurewell_request_seconds", metrics.whole);
-    addHistogram(out, "azurewell_between_pieces_seconds", metrics.betweenPieces);
-    addHistogram(out, "azurewell_placing_seconds", metrics.placing);
-    addHistogram(out, "azurewell_report_seconds", metrics.reports);
+    addCounter(out, "azurewell_log_lines_left_out_total", droppedLogLines());
+    addHistogram(out, "azurewell_first_byte_seconds", metrics.timeToFirstByte);
+    addHistogram(out, "azurewell_request_seconds", metrics.requestDuration);
+    addHistogram(out, "azurewell_between_pieces_seconds", metrics.timeBetweenChunks);
+    addHistogram(out, "azurewell_placing_seconds", metrics.timeToDispatch);
+    addHistogram(out, "azurewell_report_seconds", metrics.reportDuration);
     addGauge(out, "azurewell_configuration_version",
              static_cast<double>(state.configuration.version));
     addGauge(out, "azurewell_known_revision", static_cast<double>(state.published.revision));
--- a/packages/proxy/src/proxy_requests.cpp
+++ b/packages/proxy/src/proxy_requests.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-/// Bytes that a slow caller may leave unread before its upstream is slowed down as well.
-constexpr std::size_t mostUnsentBytes = 128ULL * 1024;
+/// Unsent bytes to a slow caller above which reading from its upstream is paused.
+constexpr std::size_t maxUnsentBytes = 128ULL * 1024;
 
-/// The status that a caller sees. A status that promises that the request has not run is given
-/// only where that is true.
+/// The status that the caller gets. A status that implies that the request has not run is used only
+/// if that is certain.
 int statusOf(const Refuse &refusal)
 {
     const int stated = infoOf(refusal.code).httpStatus;
@@ -62,7 +62,7 @@
     OpenRequest &request = found->second;
     const Instant now = monotonicNow();
     CallerConnection &session = *this->sessions.at(request.session);
-    const RequestLine &line = session.request();
+    const RequestHead &line = session.request();
     request.attempt = toSend.attempt;
     request.upstream = toSend.upstream;
     request.isHeldBack = toSend.isHeldBack;
@@ -71,14 +71,14 @@
     request.body.clear();
     request.sentAt = now;
     if (toSend.attempt == 1)
-        this->metrics.placing.add(now - request.arrivedAt);
+        this->metrics.timeToDispatch.add(now - request.arrivedAt);
     const RequestNumber number = toSend.request;
     ExchangeHandlers handlers;
     handlers.onHead = [this, number](const ResponseHead &head) {
-        this->takeHead(number, head);
+        this->handleHead(number, head);
     };
     handlers.onBody = [this, number](const std::string &body) {
-        this->takeBody(number, body);
+        this->handleBody(number, body);
     };
     handlers.onComplete = [this, number] {
         this->complete(number);
@@ -86,7 +86,7 @@
     handlers.onFailure = [this, number](ExchangeFailure failure) {
         this->fail(number, failure);
     };
-    handlers.isOwn = [this, callerId = request.callerId](const ResponseHead &head) {
+    handlers.matchesRequest = [this, callerId = request.callerId](const ResponseHead &head) {
         return this->format.isAnswerTo(head, callerId);
     };
     const std::string bytes = requestBytes(line.method, line.target,
@@ -96,7 +96,7 @@
                                                std::move(handlers), now);
 }
 
-void Proxy::takeHead(RequestNumber number, const ResponseHead &head)
+void Proxy::handleHead(RequestNumber number, const ResponseHead &head)
 {
     const auto found = this->open.find(number);
     if (found == this->open.end())
@@ -111,13 +111,13 @@
            LimitStated{ request.upstream, request.facts.limitPerSecond, request.sentAt, false },
            monotonicNow(), actions);
     this->run(actions);
-    // Only a stream is passed on piece by piece; a failure is read whole, so that it can be
-    // replaced.
+    // Only successful streams are forwarded chunk by chunk; a failure is buffered, so that the
+    // answer of a retry can replace it.
     if (!isSuccess(head) || !request.facts.isAttested)
         request.isHeldBack = true;
 }
 
-void Proxy::takeBody(RequestNumber number, const std::string &body)
+void Proxy::handleBody(RequestNumber number, const std::string &body)
 {
     const auto found = this->open.find(number);
     if (found == this->open.end())
@@ -129,41 +129,41 @@
     }
     CallerConnection &session = *this->sessions.at(request.session);
     const Instant now = monotonicNow();
-    if (request.hasBegun) {
-        const Span pause = now - request.lastPieceAt;
+    if (request.isHeadSent) {
+        const Span pause = now - request.lastChunkAt;
         request.longestPause = std::max(request.longestPause, pause);
-        this->metrics.betweenPieces.add(pause);
+        this->metrics.timeBetweenChunks.add(pause);
     }
-    request.lastPieceAt = now;
-    if (!request.hasBegun) {
-        request.hasBegun = true;
+    request.lastChunkAt = now;
+    if (!request.isHeadSent) {
+        request.isHeadSent = true;
         request.firstByteAt = now;
-        this->metrics.toFirstByte.add(now - request.arrivedAt);
+        this->metrics.timeToFirstByte.add(now - request.arrivedAt);
         Actions actions;
         handle(this->core, AnswerBegan{ number, request.attempt }, now, actions);
         session.beginChunks(request.head.status, request.head.reason,
                             endToEndHeaders(request.head.headers));
     }
     session.sendChunk(body);
-    if (session.unsentBytes() > mostUnsentBytes && !std::exchange(request.isPaused, true))
+    if (session.unsentBytes() > maxUnsentBytes && !std::exchange(request.isPaused, true))
         this->connections.pauseReading(request.exchange, true);
 }
 
-void Proxy::answerWhole(OpenRequest &request)
+void Proxy::answerBuffered(OpenRequest &request)
 {
     const Instant now = monotonicNow();
-    this->metrics.toFirstByte.add(now - request.arrivedAt);
+    this->metrics.timeToFirstByte.add(now - request.arrivedAt);
     CallerConnection &session = *this->sessions.at(request.session);
-    request.hasBegun = true;
+    request.isHeadSent = true;
     session.answer(request.head.status, request.head.reason, endToEndHeaders(request.head.headers),
                    request.body, now);
 }
 
-void Proxy::noteAnswered(const OpenRequest &request)
+void Proxy::recordAnswer(const OpenRequest &request)
 {
     const Instant now = monotonicNow();
-    this->metrics.whole.add(now - request.arrivedAt);
-    const Instant first = request.hasBegun ? request.firstByteAt : now;
+    this->metrics.requestDuration.add(now - request.arrivedAt);
+    const Instant first = request.isHeadSent ? request.firstByteAt : now;
     writeLog(LogLevel::Info, "request_answered",
              { { "request", request.callerId },
                { "status", std::to_string(request.head.status) },
@@ -187,29 +187,29 @@
     request.isAtUpstream = false;
     if (request.facts.isNotRun) {
         this->endAttempt(number,
-                         request.facts.isNotThere ? AttemptOutcome::NotThere
-                                                  : AttemptOutcome::NotRun);
+                         request.facts.isMisdirected ? AttemptOutcome::NotThere
+                                                     : AttemptOutcome::NotRun);
         return;
     }
     if (!request.facts.isAttested) {
-        // An answer that no upstream signed is not its answer: it was spoilt on the way.
+        // An unsigned answer does not come from the upstream: it was altered on the way.
         this->endAttempt(number, AttemptOutcome::Failed);
         return;
     }
-    this->noteAnswered(request);
+    this->recordAnswer(request);
     const AttemptOutcome outcome = request.facts.isFault ? AttemptOutcome::FaultStated
                                                          : AttemptOutcome::Done;
     const SessionId session = request.session;
     this->endAttempt(number, outcome);
     if (this->core.requests.contains(number))
-        return; // It was sent to another upstream.
+        return; // The core has sent it to another upstream.
     this->requestOf.erase(session);
     OpenRequest done = std::move(this->open.at(number));
     this->open.erase(number);
-    if (done.hasBegun)
+    if (done.isHeadSent)
         this->sessions.at(session)->complete(monotonicNow());
     else
-        this->answerWhole(done);
+        this->answerBuffered(done);
 }
 
 void Proxy::fail(RequestNumber number, ExchangeFailure failure)
@@ -218,7 +218,7 @@
     if (found == this->open.end())
         return;
     found->second.isAtUpstream = false;
-    // An upstream that says that it did not run a request is believed even if it then breaks off.
+    // A statement that the request was not run is valid even if the connection then fails.
     const bool isNotRun = found->second.facts.isNotRun;
     const AttemptOutcome broken = isNotRun ? AttemptOutcome::NotRun : AttemptOutcome::Failed;
     this->endAttempt(number, failure == ExchangeFailure::NotSent ? AttemptOutcome::NotSent : broken,
@@ -240,7 +240,8 @@
                    { "after_ms", inMillis(monotonicNow() - request.sentAt) } });
     }
     Actions actions;
-    handle(this->core, AttemptEnded{ number, request.attempt, outcome, request.hasBegun, isCutOff },
+    handle(this->core,
+           AttemptEnded{ number, request.attempt, outcome, request.isHeadSent, isCutOff },
            monotonicNow(), actions);
     this->run(actions);
 }
@@ -259,7 +260,7 @@
              { { "request", request.callerId },
                { "digest", inHex(refusal.digest) },
                { "code", std::string(infoOf(refusal.code).name) },
-               { "status", request.hasBegun ? "broken_off" : std::to_string(status) },
+               { "status", request.isHeadSent ? "broken_off" : std::to_string(status) },
                { "not_run", refusal.isNotRun ? "true" : "false" },
                { "upstream", request.upstream.value },
                { "path", request.path },
@@ -268,8 +269,8 @@
                { "attempts", std::to_string(request.attempt) },
                { "configuration", std::to_string(this->core.configuration.version) },
                { "after_ms", inMillis(monotonicNow() - request.arrivedAt) } });
-    if (request.hasBegun) {
-        session.breakOff();
+    if (request.isHeadSent) {
+        session.abort();
         return;
     }
     std::vector<HttpHeader> headers{ { "Content-Type", "application/json" } };
--- a/packages/proxy/src/text.h
+++ b/packages/proxy/src/text.h
@@ -7,10 +7,10 @@
 
 namespace azurewell {
 
-/// \a span in whole milliseconds, for the log.
+/// \a span in whole milliseconds as text, for the log.
 std::string inMillis(Span span);
 
-/// The body of a refusal: its code, what it means, and whether the request can have run.
+/// The JSON body of a refusal: code, message, and whether the request may have run.
 std::string refusalBody(ResultCode code, bool isNotRun);
 
 } // namespace azurewell
