--- a/packages/shell/include/azurewell/shell/caller_guard.h
+++ b/packages/shell/include/azurewell/shell/caller_guard.h
@@ -14,75 +14,75 @@
 
 /// Watches one caller connection before QHttpServer reads it.
 ///
-/// QHttpServer bounds neither head nor body, waits for slow senders without end, and answers a
-/// second request on the connection before the first, unlabelled. The guard counts the bytes of
-/// each request, refuses what is too large or too slow, and drops a second request that comes
-/// before the first was answered: it was never begun, and the connection is closed after the first
-/// answer.
+/// QHttpServer limits neither head nor body, has no timeout for slow senders, and answers a
+/// pipelined request before the first one, with nothing to tell the responses apart. The guard
+/// counts the bytes of each request, rejects what is too large or too slow, and drops a pipelined
+/// request unprocessed; the connection is then closed after the first response.
 class CallerGuard : public QObject
 {
 public:
-    using Refused = std::function<void(ResultCode)>;
+    using RefusalHandler = std::function<void(ResultCode)>;
 
-    CallerGuard(QTcpSocket *socket, const Settings &settings, Refused refused);
+    CallerGuard(QTcpSocket *socket, const Settings &settings, RefusalHandler reportRefusal);
 
-    /// The answer to the present request is written whole.
-    void answerDone();
-    /// Closes the connection where its deadline has passed.
+    /// To be called once the response to the current request has been written completely.
+    void responseSent();
+    /// Enforces the deadline of the current phase.
     void checkDeadline(Instant now);
     bool hasUnsentBytes() const;
-    /// Whether a request has come whole and waits for its answer. QHttpServer may take for whole
-    /// what the guard does not, such as a head with bare line feeds; that must not be begun.
-    bool isAnswering() const
+    /// Whether a complete request awaits its response. QHttpServer may accept a request that the
+    /// guard considers incomplete, such as a head with bare line feeds; it must not be processed.
+    bool isAwaitingResponse() const
     {
         return this->phase == Phase::Answering;
     }
-    /// Answers with \a error and closes the connection.
+    /// Responds with \a error and closes the connection.
     void refuse(const Error &error);
-    /// Closes the connection now, or after the answer that is on its way.
+    /// Closes the connection now, or after the pending response.
     void closeWhenIdle();
 
 private:
     enum class Phase : std::uint8_t { Idle, Head, Body, Answering, Closing };
 
     void readyRead();
-    void takeHeadBytes(const QByteArray &bytes);
+    void readHeadBytes(const QByteArray &bytes);
     void beginBody(qsizetype headBytes);
     void countBody(qsizetype bytes);
     void close();
 
     QTcpSocket *socket;
     const Settings &settings;
-    Refused refused;
+    RefusalHandler reportRefusal;
     Phase phase = Phase::Idle;
     Instant deadline;
-    QByteArray head; ///< Of the present request, until it is whole.
-    qint64 bodyLeft = 0;
-    bool closesAfterAnswer = false;
+    QByteArray head; ///< Head of the current request, until complete.
+    qint64 remainingBodyBytes = 0;
+    bool closesAfterResponse = false;
 };
 
-/// Hands guarded sockets to QHttpServer.
+/// Accepts connections and passes them to QHttpServer with a CallerGuard each.
 class GuardedTcpServer : public QTcpServer
 {
 public:
-    GuardedTcpServer(const Settings &settings, CallerGuard::Refused refused, QObject *parent);
+    GuardedTcpServer(const Settings &settings, CallerGuard::RefusalHandler reportRefusal,
+                     QObject *parent);
 
-    /// The guard of \a socket, or null.
+    /// Returns the guard of \a socket, or null.
     static CallerGuard *guardOf(QTcpSocket *socket);
     void checkDeadlines(Instant now);
-    /// Closes connections without a request, and the others after their present one.
+    /// Closes idle connections now and the others after their current request.
     void closeIdle();
-    /// Whether any caller's connection has bytes that were not handed to the kernel yet.
+    /// Whether any connection has bytes not yet passed to the kernel.
     bool hasUnsentBytes() const;
 
 protected:
     void incomingConnection(qintptr descriptor) override;
 
 private:
-    void forgetClosed();
+    void removeClosed();
 
     const Settings &settings;
-    CallerGuard::Refused refused;
+    CallerGuard::RefusalHandler reportRefusal;
     QList<QPointer<CallerGuard>> guards;
 };
 
--- a/packages/shell/include/azurewell/shell/caller_request.h
+++ b/packages/shell/include/azurewell/shell/caller_request.h
@@ -8,27 +8,28 @@
 
 namespace azurewell {
 
-/// A caller's request as the traffic thread holds it; `arrived` goes to the core.
+/// A caller's request as held by the traffic thread. `arrived` is the event reported to the host
+/// state.
 struct CallerRequest
 {
     RequestArrived arrived;
     QByteArray method;
-    QByteArray path; ///< With the query, as the upstream gets it.
+    QByteArray path; ///< Includes the query; forwarded to the upstream unchanged.
     QByteArray contentType;
     QByteArray body;
     QByteArray callNumber; ///< From X-Call-Number; passed on to the service.
     bool isStream = false;
 };
 
-/// Reads key, model and sizes. The key is hashed here and goes no further. Errors: KeyMissing,
+/// Extracts key, model and sizes. Only the hash of the key is kept. Errors: KeyMissing,
 /// KeyInWrongPlace, MalformedBody, ModelMissing, UnknownPath.
 Result<CallerRequest> readCallerRequest(const QHttpServerRequest &request, const RequestId &id,
                                         Instant deadline);
 
-/// Tokens of a prompt are not known before the engine has split it; English and Spanish text has
-/// about four bytes to a token.
+/// Estimates prompt tokens before the engine has tokenized the prompt; English and Spanish text has
+/// about four bytes per token.
 inline constexpr std::int64_t bytesPerToken = 4;
-/// Generated tokens where the caller sets no max_tokens.
-inline constexpr std::int64_t defaultMostGenerated = 256;
+/// Limit of generated tokens when the request has no max_tokens.
+inline constexpr std::int64_t defaultMaxTokens = 256;
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/control_loop.h
+++ b/packages/shell/include/azurewell/shell/control_loop.h
@@ -18,17 +18,17 @@
 
 namespace azurewell {
 
-/// The control thread: owns the host's state, gives it events and carries its actions out. Traffic
-/// threads reach it, and it reaches them, by queued typed messages only.
+/// Event loop of the control thread: owns the host's state, passes events to it and executes the
+/// resulting actions. It exchanges only queued, typed messages with the traffic threads.
 class ControlLoop : public QObject
 {
 public:
-    ControlLoop(Settings settings, KnownCharts charts, std::function<void()> leave);
+    ControlLoop(Settings settings, KnownCharts charts, std::function<void()> onStopped);
     ~ControlLoop() override;
 
     /// Opens all ports and starts the traffic threads. Errors: SettingsInvalid.
     Result<std::uint16_t> start();
-    /// Begins a planned stop; `leave` is called when the last request is done.
+    /// Begins a planned stop; `onStopped` is called once the last request has ended.
     void stop();
 
 private:
@@ -38,30 +38,30 @@
         TrafficWorker *traffic = nullptr; ///< Lives in `thread`, deleted by it.
     };
 
-    void give(const Event &event);
-    void carryOut(const std::vector<Action> &actions);
+    void handleEvent(const Event &event);
+    void executeActions(const std::vector<Action> &actions);
     void report(std::uint32_t worker, const TrafficReport &report);
-    void toWorker(const RequestId &request, const TrafficOrder &order);
+    void sendToWorker(const RequestId &request, const TrafficOrder &order);
     void finishWorkers();
     void workerFinished();
     Result<std::uint16_t> startWorker(std::uint32_t number);
-    std::optional<OperationsAnswer> answerOperator(const QString &path) const;
+    std::optional<OperationsAnswer> handleOperationsRequest(const QString &path) const;
     QByteArray showText() const;
 
-    struct Performer;
+    struct ActionExecutor;
 
     Settings settings;
     HostState state;
     Metrics metrics;
-    std::function<void()> leave;
+    std::function<void()> onStopped;
     PeerLinks peers;
     PlatformWatcher platform;
     EngineOrders engines;
     OperationsServer operations;
-    QTimer tick;
+    QTimer tickTimer;
     std::vector<Worker> workers;
     std::size_t unfinishedWorkers = 0;
-    std::unordered_map<RequestId, std::uint32_t> workerOf;
+    std::unordered_map<RequestId, std::uint32_t> workerByRequest;
 };
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/engine_orders.h
+++ b/packages/shell/include/azurewell/shell/engine_orders.h
@@ -10,20 +10,20 @@
 
 namespace azurewell {
 
-/// Carries the keeper's orders and questions to engines: load, unload, cancel, load report.
+/// Sends the requests of the coordinating host to engines: load, unload, cancel, load report.
 class EngineOrders : public QObject
 {
 public:
-    using Answered = std::function<void(const Event &)>;
+    using EventHandler = std::function<void(const Event &)>;
 
-    explicit EngineOrders(Answered answered);
+    explicit EngineOrders(EventHandler handleEvent);
 
     void order(const OrderEngine &order);
-    void askLoad(const AskLoad &question);
+    void queryLoad(const AskLoad &query);
     void cancel(const CancelAttempt &attempt);
 
 private:
-    Answered answered;
+    EventHandler handleEvent;
     UpstreamPool pool;
 };
 
--- a/packages/shell/include/azurewell/shell/event_stream.h
+++ b/packages/shell/include/azurewell/shell/event_stream.h
@@ -7,30 +7,30 @@
 
 namespace azurewell {
 
-/// A server-sent event longer than this many bytes is refused: an engine that never ends an event
-/// would otherwise fill the host's memory.
-inline constexpr qsizetype longestEvent = 1 << 20;
+/// Longer server-sent events are rejected: an engine that never ends an event would otherwise
+/// exhaust the host's memory.
+inline constexpr qsizetype maxEventBytes = 1 << 20;
 
-/// The whole events at the front of a stream.
-struct WholeEvents
+/// The complete events at the front of a stream.
+struct CompleteEvents
 {
-    QByteArray bytes; ///< As the engine sent them, without carriage returns.
-    Tokens tokens;    ///< Events that carry data; an engine sends one for each token.
+    QByteArray bytes; ///< As sent by the engine, without carriage returns.
+    Tokens tokens;    ///< Count of events with data; an engine sends one per token.
 };
 
-/// Cuts the bytes of a server-sent event stream into whole events. What is data is decided by the
-/// field at the start of a line: text that an adapter makes may hold "data: [DONE]" as well.
+/// Splits a server-sent event stream into complete events. Only a field name at the start of a line
+/// marks data, as generated text may contain "data: [DONE]" too.
 struct EventStream
 {
-    QByteArray partial;  ///< The bytes after the last whole event.
-    bool isDone = false; ///< The engine has said that the answer is whole.
+    QByteArray partial;  ///< The bytes after the last complete event.
+    bool isDone = false; ///< The end marker "[DONE]" was received.
 };
 
-/// Adds \a bytes and takes out what is whole by now. Nothing after the end marker is taken. Errors:
-/// MessageInvalid where an event is longer than longestEvent.
-Result<WholeEvents> takeEvents(EventStream &stream, const QByteArray &bytes);
+/// Appends \a bytes and removes and returns all complete events; nothing after the end marker is
+/// returned. Errors: MessageInvalid if an event is longer than maxEventBytes.
+Result<CompleteEvents> takeEvents(EventStream &stream, const QByteArray &bytes);
 
-/// The value of the first data line in \a events; empty where there is none.
+/// Returns the value of the first data line in \a events, or an empty array.
 QByteArray firstData(const QByteArray &events);
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/http_text.h
+++ b/packages/shell/include/azurewell/shell/http_text.h
@@ -8,22 +8,22 @@
 
 namespace azurewell {
 
-/// The head of an answer with a body of known length.
+/// Returns the head of a response with a body of known length.
 QByteArray answerHead(int status, const QByteArray &contentType, qsizetype bodyBytes,
-                      const RequestId &request, const QByteArray &moreHeaders = {});
+                      const RequestId &request, const QByteArray &extraHeaders = {});
 
-/// The head of a chunked answer.
+/// Returns the head of a response with chunked transfer encoding.
 QByteArray chunkedHead(const QByteArray &contentType, const RequestId &request,
-                       const QByteArray &moreHeaders = {});
+                       const QByteArray &extraHeaders = {});
 
-/// \a data as one chunk; the last chunk where \a data is empty.
-QByteArray chunkOf(const QByteArray &data);
+/// Encodes \a data as one chunk; empty data gives the terminating chunk.
+QByteArray encodeChunk(const QByteArray &data);
 
-/// A refusal as a whole answer: the numbered code, what it means, and whether the request can have
-/// run, in the headers and in the body.
+/// Returns a refusal as a complete response. Headers and body give the numeric code, its meaning
+/// and whether the request may have run.
 QByteArray refusalAnswer(const Refuse &refusal);
 
-/// The refusal as a server-sent event, for a stream whose head was sent already.
+/// Returns a refusal as a server-sent event, for a stream whose head has been sent.
 QByteArray refusalEvent(const Refuse &refusal);
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/metrics.h
+++ b/packages/shell/include/azurewell/shell/metrics.h
@@ -13,24 +13,24 @@
 using LatencyHistogram = decltype(boost::histogram::make_histogram(
         boost::histogram::axis::variable<double>()));
 
-/// What the control thread measures beside the core's counters. Times are in seconds.
+/// Metrics kept by the control thread in addition to the host state's counters; times in seconds.
 struct Metrics
 {
     Metrics();
 
-    LatencyHistogram admissionSeconds; ///< From a request's arrival to its first dispatch.
-    LatencyHistogram requestSeconds;   ///< From arrival to the end of the answer.
+    LatencyHistogram admissionSeconds; ///< From arrival to first dispatch.
+    LatencyHistogram requestSeconds;   ///< From arrival to the end of the response.
     PeerLinkCounters peerLinks;
     double admissionSum = 0;
     double requestSum = 0;
-    std::unordered_map<RequestId, Instant> arrivedAt; ///< Requests that are still open.
+    std::unordered_map<RequestId, Instant> arrivedAt; ///< Open requests.
 };
 
-void noteArrived(Metrics &metrics, const RequestId &request, Instant now);
-void noteDispatched(Metrics &metrics, const RequestId &request, Instant now);
-void noteEnded(Metrics &metrics, const RequestId &request, Instant now);
+void recordArrival(Metrics &metrics, const RequestId &request, Instant now);
+void recordDispatch(Metrics &metrics, const RequestId &request, Instant now);
+void recordEnd(Metrics &metrics, const RequestId &request, Instant now);
 
-/// The text that /metrics publishes, in the format that Prometheus reads (docs/METRICS.md).
+/// Returns the body of /metrics in the Prometheus text format (docs/METRICS.md).
 std::string metricsText(const HostState &state, const Metrics &metrics);
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/one_shot_device.h
+++ b/packages/shell/include/azurewell/shell/one_shot_device.h
@@ -5,9 +5,9 @@
 
 namespace azurewell {
 
-/// A request body that can be read once. QNetworkAccessManager sends a POST again, silently, when
-/// the server closes the connection without answering; a filing then runs twice with no line of
-/// ours at fault. It cannot rewind a sequential device, so with this body it fails instead.
+/// A request body that can be read only once. QNetworkAccessManager silently resends a POST when
+/// the server closes the connection without a response, which would execute a call twice. It cannot
+/// rewind a sequential device, so with this body the request fails instead.
 class OneShotDevice : public QIODevice
 {
 public:
@@ -15,12 +15,12 @@
 
     bool isSequential() const override;
     qint64 bytesAvailable() const override;
-    /// No, without the warning that the library prints for sequential devices.
+    /// Returns false; the base class would also print a warning for sequential devices.
     bool seek(qint64 position) override;
     bool reset() override;
 
 protected:
-    qint64 readData(char *to, qint64 most) override;
+    qint64 readData(char *to, qint64 maxCount) override;
     qint64 writeData(const char *from, qint64 count) override;
 
 private:
--- a/packages/shell/include/azurewell/shell/operations_server.h
+++ b/packages/shell/include/azurewell/shell/operations_server.h
@@ -10,7 +10,7 @@
 
 namespace azurewell {
 
-/// An answer to an operator.
+/// Response to an operator's request.
 struct OperationsAnswer
 {
     int status = 200;
@@ -18,14 +18,14 @@
     QByteArray body;
 };
 
-/// /healthz, /readyz, /metrics and /show for operators, on a port of their own in the control
+/// Serves /healthz, /readyz, /metrics and /show to operators on a separate port, in the control
 /// thread.
 class OperationsServer : public QAbstractHttpServer
 {
 public:
-    using Answer = std::function<std::optional<OperationsAnswer>(const QString &path)>;
+    using RequestHandler = std::function<std::optional<OperationsAnswer>(const QString &path)>;
 
-    explicit OperationsServer(Answer answer);
+    explicit OperationsServer(RequestHandler handlePath);
 
     /// Errors: SettingsInvalid.
     Result<std::uint16_t> start(const Endpoint &endpoint);
@@ -35,7 +35,7 @@
     void missingHandler(const QHttpServerRequest &request, QTcpSocket *socket) override;
 
 private:
-    Answer answer;
+    RequestHandler handlePath;
 };
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/peer_links.h
+++ b/packages/shell/include/azurewell/shell/peer_links.h
@@ -19,61 +19,63 @@
 
 namespace azurewell {
 
-/// What happened on the links between hosts; /metrics publishes it.
+/// Counters of the links between hosts, published by /metrics.
 struct PeerLinkCounters
 {
-    std::uint64_t framesRefused = 0;   ///< Not valid, not sealed with our key, or sent before.
-    std::uint64_t linksReopened = 0;   ///< Outgoing links that went silent.
-    std::uint64_t messagesDropped = 0; ///< A slow host's, with its link.
+    std::uint64_t framesRefused = 0;   ///< Malformed, failed authentication, or replayed.
+    std::uint64_t linksReopened = 0;   ///< Outgoing links that were not acknowledged in time.
+    std::uint64_t messagesDropped = 0; ///< Dropped with the link of a slow host.
 };
 
-/// Connections between hosts. Each host sends over connections that it opened and receives over
-/// those that others opened. Frames are sealed with the fleet's key (peer_frame.h).
+/// Connections between hosts. Each host sends over the connections it opened and receives over
+/// those that other hosts opened. Frames are authenticated with the fleet's key (peer_frame.h).
 ///
-/// The receiver writes an empty frame back for what it has read. A link that something between two
-/// hosts has lost track of takes bytes for minutes before the kernel gives up; a sender that hears
-/// nothing back within linkPatience opens a new one.
+/// The receiver acknowledges what it has read with an empty frame. When a middlebox has dropped the
+/// state of a connection, the kernel still accepts bytes for minutes before it reports an error;
+/// a sender that gets no acknowledgement within acknowledgementTimeout opens a new connection.
 class PeerLinks : public QObject
 {
 public:
-    using Received = std::function<void(const PeerMessage &)>;
+    using MessageHandler = std::function<void(const PeerMessage &)>;
 
-    PeerLinks(const Settings &settings, PeerLinkCounters &counters, Received received);
+    PeerLinks(const Settings &settings, PeerLinkCounters &counters, MessageHandler handleMessage);
     ~PeerLinks() override;
 
     /// Opens the peer port. Errors: SettingsInvalid.
     Result<std::uint16_t> listen();
 
-    /// Sends \a body; lost where the other host cannot be reached. Senders repeat what matters.
+    /// Sends \a body without delivery guarantee: it is lost if the host is unreachable. Callers
+    /// resend what must arrive.
     void send(const HostId &to, const std::string &address, const PeerBody &body);
 
 private:
     struct Link
     {
         QPointer<QTcpSocket> socket;
-        bool isAnswerDue = false;
-        Instant answerBy; ///< Where an answer is due.
+        bool isAcknowledgementDue = false;
+        Instant acknowledgementDeadline; ///< Valid while isAcknowledgementDue is set.
     };
 
-    void accepted();
+    void acceptConnections();
     void readFrames(QTcpSocket *socket);
-    void takeFrame(QTcpSocket *socket, const QByteArray &content);
+    void handleFrame(QTcpSocket *socket, const QByteArray &content);
     void refuse(QTcpSocket *socket, const std::string &reason);
-    bool isSentBefore(const PeerMessage &message, std::uint64_t serial);
-    void closeSilent();
+    bool isReplayed(const PeerMessage &message, std::uint64_t serial);
+    void closeIdleConnections();
     Link *linkTo(const std::string &address);
 
     HostIdentity self;
     Endpoint endpoint;
     QByteArray key;
     PeerLinkCounters &counters;
-    Received received;
+    MessageHandler handleMessage;
     QTcpServer server;
     std::map<std::string, Link> links;
     std::uint64_t nextSerial = 1;
-    std::map<HostId, std::pair<Incarnation, std::uint64_t>> newest; ///< Of each sender.
-    QHash<QTcpSocket *, Instant> silentAt; ///< When an incoming connection counts as silent.
-    QTimer silenceTimer;
+    std::map<HostId, std::pair<Incarnation, std::uint64_t>>
+            newestSerials;                      ///< Highest serial of each sender.
+    QHash<QTcpSocket *, Instant> idleDeadlines; ///< When an incoming connection is closed.
+    QTimer idleTimer;
 };
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/platform_watcher.h
+++ b/packages/shell/include/azurewell/shell/platform_watcher.h
@@ -14,59 +14,59 @@
 
 namespace azurewell {
 
-/// Reads the configuration service: the tickets and the host list.
+/// Reads tickets and the host list from the configuration service.
 ///
 /// Keys: `<prefix>/tickets/head` holds the newest ticket's number, `<prefix>/tickets/<n>` each
-/// ticket, `<prefix>/hosts` the list; `<prefix>/tickets/snapshot` says of which ticket and of how
-/// many segments the newest snapshot is, `<prefix>/tickets/segments/<ticket>/<n>` holds each.
-/// `head` and `hosts` are watched by blocking reads, as Consul's KV offers them; one call in ten
-/// seconds while nothing changes.
+/// ticket and `<prefix>/hosts` the host list. `<prefix>/tickets/snapshot` holds the ticket number
+/// and the segment count of the newest snapshot, `<prefix>/tickets/segments/<ticket>/<n>` each
+/// segment. `head` and `hosts` are watched by blocking reads as in Consul's KV store: one call per
+/// ten seconds while nothing changes.
 class PlatformWatcher : public QObject
 {
 public:
-    using Read = std::function<void(const Event &)>;
-    using TicketInForce = std::function<TicketNumber()>;
+    using EventHandler = std::function<void(const Event &)>;
+    using CurrentTicket = std::function<TicketNumber()>;
     using ReadDelay = std::function<Span(TicketNumber)>;
 
-    PlatformWatcher(const Settings &settings, TicketInForce inForce, ReadDelay readDelay,
-                    Read read);
+    PlatformWatcher(const Settings &settings, CurrentTicket inForce, ReadDelay readDelay,
+                    EventHandler handleEvent);
     void start();
 
 private:
-    /// A key that is watched.
+    /// A watched key.
     struct Watch
     {
         QString key;
         QByteArray index = "0";
-        bool isProbe = false; ///< The last read failed: the next one is answered at once.
+        bool isProbe = false; ///< The last read failed; the next one does not block.
         std::function<void(const QByteArray &)> changed;
     };
 
     void watch(Watch &watch);
-    void headRead(const QByteArray &value);
-    void hostsAnswered();
+    void handleHead(const QByteArray &value);
+    void startHeadWatch();
     void readSnapshotIndex();
     void readSegment(std::uint64_t ticket, std::uint32_t segment, std::uint32_t count);
     void readNextTicketAfter(int millis);
     void readNextTicket();
-    void hostsRead(const QByteArray &value);
-    /// \a waitMillis: how long the service may hold the read.
+    void handleHostList(const QByteArray &value);
+    /// \a waitMillis: how long the service may block the read.
     QNetworkReply *get(const QString &key, const QByteArray &query, int waitMillis);
 
     const Settings &settings;
-    TicketInForce inForce;
+    CurrentTicket inForce;
     ReadDelay readDelay;
-    Read read;
+    EventHandler handleEvent;
     QNetworkAccessManager access;
     Watch head;
     Watch hosts;
-    std::uint64_t newest = 0;
+    std::uint64_t newestTicket = 0;
     bool isReadingTicket = false;
-    bool isHeadWatched = false;
-    bool isSnapshotTried = false;
+    bool isWatchingHead = false;
+    bool isSnapshotRequested = false;
 };
 
-/// The host list from its JSON. Errors: MalformedBody.
+/// Parses the host list from JSON. Errors: MalformedBody.
 Result<HostListRead> parseHostList(std::string_view text);
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/request_head.h
+++ b/packages/shell/include/azurewell/shell/request_head.h
@@ -6,17 +6,16 @@
 
 namespace azurewell {
 
-/// What the guard before QHttpServer has to know of a request.
+/// Fields of a request head that CallerGuard needs.
 struct RequestHead
 {
     qint64 contentLength = 0;
-    bool closes = false; ///< The caller wants the connection closed after the answer.
+    bool closes = false; ///< The caller asks to close the connection after the response.
 };
 
-/// Reads \a head, which ends with an empty line. QHttpServer closes the connection without a word
-/// where it does not like a head, so what it would not take is refused here, and so is all that two
-/// readers could take differently: two lengths, folded lines, a change of protocol. Errors:
-/// MalformedRequest, LengthRequired.
+/// Parses \a head, which ends with an empty line. Rejects what QHttpServer would reject by closing
+/// the connection without a response, and whatever two parsers could interpret differently: several
+/// lengths, folded lines, protocol upgrades. Errors: MalformedRequest, LengthRequired.
 Result<RequestHead> readRequestHead(const QByteArray &head);
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/run_host.h
+++ b/packages/shell/include/azurewell/shell/run_host.h
@@ -5,7 +5,7 @@
 namespace azurewell {
 
 /// Runs a host until SIGTERM or SIGINT and the end of its last request. Returns the exit code: 0
-/// after a planned stop, 1 where it could not start.
+/// after a planned stop, 1 if it could not start.
 int runHost(int argc, char **argv, const Settings &settings);
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/settings.h
+++ b/packages/shell/include/azurewell/shell/settings.h
@@ -11,40 +11,40 @@
 
 namespace azurewell {
 
-/// What azurewelld reads at start; `azurewelld --print-default-settings` shows each key with its
-/// meaning.
+/// Settings that azurewelld reads at start; `azurewelld --print-default-settings` documents each
+/// key.
 struct Settings
 {
-    HostIdentity self;     ///< Incarnation and seed are set by the program, not by the file.
-    Endpoint callers;      ///< Where callers connect.
-    Endpoint peers;        ///< Where other hosts connect.
-    Endpoint operations;   ///< /healthz, /readyz, /metrics, /show.
-    std::string platform;  ///< Base URL of the configuration service.
-    std::string peerKey;   ///< Shared by all hosts; seals the messages between them.
-    std::string keyPrefix; ///< Under which our values are published.
+    HostIdentity self;    ///< Incarnation and random seed are set at start, not read from the file.
+    Endpoint callers;     ///< Listening address for callers.
+    Endpoint peers;       ///< Listening address for other hosts.
+    Endpoint operations;  ///< /healthz, /readyz, /metrics, /show.
+    std::string platform; ///< Base URL of the configuration service.
+    std::string peerKey;  ///< Shared by all hosts; authenticates messages between them.
+    std::string keyPrefix; ///< Prefix of the keys in the configuration service.
     std::string chartsDirectory;
     std::uint32_t trafficThreads = 2;
     LogLevel logLevel = LogLevel::Info;
 
-    std::uint64_t mostBodyBytes = 0;
-    std::uint64_t mostHeadBytes = 0;
+    std::uint64_t maxBodyBytes = 0;
+    std::uint64_t maxHeadBytes = 0;
     std::uint32_t mostConnections = 0;
-    Span senderPatience{};  ///< A request must have arrived whole within this.
-    Span keepAlive{};       ///< An idle caller connection is closed after this.
-    Span requestPatience{}; ///< The deadline of a request that names none.
-    Span readerPatience{};  ///< A caller must read a stream that waits for it within this.
-    Span drainGrace{};      ///< Requests are served for so long after a planned stop was asked for.
-    Span upstreamIdle{};    ///< An upstream that sends nothing for this long is silent.
+    Span senderPatience{};        ///< Limit for receiving a complete request.
+    Span keepAlive{};             ///< Idle caller connections are closed after this.
+    Span defaultRequestTimeout{}; ///< Timeout of a request that sets none.
+    Span readerPatience{};        ///< Limit for a caller to read a paused stream.
+    Span drainGrace{};            ///< Requests are still served this long after a stop request.
+    Span upstreamIdle{};          ///< An attempt without data for this long has failed.
 };
 
 /// Reads settings from JSON with comments. Errors: SettingsInvalid with the line or key, what is
 /// wrong and what is allowed.
 Result<Settings> parseSettings(std::string_view text);
 
-/// parseSettings() on a file. Errors also: FileUnreadable.
+/// Reads settings from a file. Errors: FileUnreadable and those of parseSettings().
 Result<Settings> loadSettings(const std::string &path);
 
-/// A settings file with every key at its default and a comment on each.
+/// Returns a settings file with every key at its default and a comment on each.
 std::string_view defaultSettingsText();
 
 /// Reads "ip:port". Errors: SettingsInvalid.
--- a/packages/shell/include/azurewell/shell/show_record.h
+++ b/packages/shell/include/azurewell/shell/show_record.h
@@ -7,8 +7,9 @@
 
 namespace azurewell {
 
-/// One record in force as JSON, with the ticket that set it, by whom and why: \a path is
-/// `customer/NAME`, `key/SHA256` or `adapter/NAME@VERSION`. Nothing where there is no such record.
+/// Returns a record in force as JSON, with number, author and reason of the ticket that set it, or
+/// nothing if it does not exist. \a path is `customer/NAME`, `key/SHA256` or
+/// `adapter/NAME@VERSION`.
 std::optional<std::string> showRecord(const StateInForce &state, const std::string &path);
 
 } // namespace azurewell
--- a/packages/shell/include/azurewell/shell/traffic_worker.h
+++ b/packages/shell/include/azurewell/shell/traffic_worker.h
@@ -19,19 +19,19 @@
 
 namespace azurewell {
 
-/// A refusal made before the core heard of the request; the control thread counts it.
-struct RefusedEarly
+/// A request rejected by the traffic thread itself; the control thread only counts it.
+struct LocalRefusal
 {
     ResultCode code;
 };
 
-/// What a traffic thread tells the control thread.
-using TrafficReport = std::variant<Event, RefusedEarly, std::vector<AttemptProgress>>;
-/// What the control thread tells a traffic thread.
+/// Message from a traffic thread to the control thread.
+using TrafficReport = std::variant<Event, LocalRefusal, std::vector<AttemptProgress>>;
+/// Message from the control thread to a traffic thread.
 using TrafficOrder = std::variant<Refuse, Dispatch, CancelAttempt, AnswerHeld, AnswerNumbers>;
 
-/// One traffic thread's work: callers' connections and the attempts at upstreams. Lives in its
-/// thread; the control thread reaches it by carryOut() through a queued call only.
+/// Callers' connections and upstream attempts of one traffic thread. Lives in that thread; the
+/// control thread calls carryOut(), drain() and finish() through queued invocations only.
 class TrafficWorker : public QAbstractHttpServer
 {
 public:
@@ -43,9 +43,9 @@
     /// Opens the callers' port. Errors: SettingsInvalid.
     Result<std::uint16_t> start();
     void carryOut(const TrafficOrder &order);
-    /// A planned stop has begun: each answer from here on tells its caller to leave the connection.
+    /// Begins a planned stop: all further responses carry "Connection: close".
     void drain();
-    /// Closes the port; \a finished is called in this thread once every answer has been sent whole.
+    /// Closes the port; \a finished is called in this thread once every response has been sent.
     void finish(std::function<void()> finished);
 
 protected:
@@ -53,7 +53,7 @@
     void missingHandler(const QHttpServerRequest &request, QTcpSocket *socket) override;
 
 private:
-    /// A caller's request from its arrival to the end of its answer.
+    /// A caller's request from its arrival to the end of its response.
     struct Exchange
     {
         CallerRequest request;
@@ -61,8 +61,8 @@
         std::unique_ptr<UpstreamAttempt> attempt;
         std::uint32_t attemptNumber = 0;
         Tokens delivered;
-        Tokens reported;        ///< Of those delivered, what the control thread has heard of.
-        Instant readerDeadline; ///< Of a caller that the attempt is paused for.
+        Tokens reported;        ///< Part of `delivered` reported to the control thread.
+        Instant readerDeadline; ///< When the caller is dropped; valid while paused.
         bool isHeadSent = false;
         std::array<QMetaObject::Connection, 2> connections; ///< To the socket.
     };
@@ -73,20 +73,20 @@
     void answerHeld(const AnswerHeld &order);
     void answerNumbers(const AnswerNumbers &order);
     void answer(const RequestId &id, const QByteArray &bytes);
-    void passOn(const RequestId &id, const WholeEvents &events);
-    void callerHasRead(const RequestId &id);
+    void forwardEvents(const RequestId &id, const CompleteEvents &events);
+    void callerBytesWritten(const RequestId &id);
     void reportProgress();
     void dropSlowReaders(Instant now);
     void attemptEnded(const RequestId &id, AttemptOutcome outcome);
-    void answerWhole(Exchange &exchange);
+    void sendCompleteResponse(Exchange &exchange);
     void endStream(Exchange &exchange);
     QByteArray connectionHeader() const;
     bool isFinished(Instant now) const;
     void endExchange(const RequestId &id);
-    void callerLeft(const RequestId &id);
+    void callerDisconnected(const RequestId &id);
     void checkDeadlines();
-    void refuseEarly(QTcpSocket *socket, const Error &error, const RequestId &id,
-                     RunState runState = RunState::NotRun);
+    void refuseLocally(QTcpSocket *socket, const Error &error, const RequestId &id,
+                       RunState runState = RunState::NotRun);
 
     const Settings &settings;
     std::string idPrefix;
@@ -97,8 +97,8 @@
     std::unordered_map<RequestId, Exchange> exchanges;
     QTimer deadlineTimer;
     std::function<void()> onFinished;
-    Instant nextCheck;       ///< When checkDeadlines() is due.
-    Instant checksNotBefore; ///< Later than now after the process was stopped.
+    Instant nextCheck;       ///< When the next checkDeadlines() is due.
+    Instant checksNotBefore; ///< In the future after the process was suspended.
     bool isDraining = false;
     Instant finishNotBefore;
     Instant finishDeadline;
--- a/packages/shell/include/azurewell/shell/upstream_attempt.h
+++ b/packages/shell/include/azurewell/shell/upstream_attempt.h
@@ -13,28 +13,28 @@
 
 namespace azurewell {
 
-/// What an attempt reports. Streams report events as they come; other answers come whole at the
-/// end.
-struct AttemptSinks
+/// Callbacks of an attempt. Streams report events as they arrive; other responses are complete when
+/// `onEnded` is called.
+struct AttemptCallbacks
 {
-    std::function<void(const WholeEvents &events)> streamed;
-    std::function<void(AttemptOutcome)> ended;
+    std::function<void(const CompleteEvents &events)> onEvents;
+    std::function<void(AttemptOutcome)> onEnded;
 };
 
-/// One try of one request at one upstream.
+/// One attempt of a request at one upstream.
 class UpstreamAttempt : public QObject
 {
 public:
-    /// \a hasAnswerBegun: the caller has the beginning of a streamed answer already, so nothing but
-    /// the rest of that stream may follow.
+    /// \a hasAnswerBegun: the caller has received the beginning of a streamed response, so only the
+    /// rest of that stream may follow.
     UpstreamAttempt(UpstreamPool &pool, const CallerRequest &request, const Dispatch &dispatch,
-                    bool hasAnswerBegun, Span idleLimit, AttemptSinks sinks);
+                    bool hasAnswerBegun, Span idleTimeout, AttemptCallbacks callbacks);
     ~UpstreamAttempt() override;
 
-    /// Ends the attempt as silent where nothing came until the idle deadline.
+    /// Ends the attempt as Silent if nothing was received by the idle deadline.
     void checkDeadline(Instant now);
-    /// Leaves the answer at the upstream while the caller does not read; what has come by then and
-    /// a bounded rest in the buffers on the way are all that is held.
+    /// Stops reading from the upstream while the caller does not read; only what has arrived and
+    /// the bounded read and socket buffers are held.
     void pause();
     void resume();
     bool isPaused() const
@@ -42,22 +42,22 @@
         return this->isReadingPaused;
     }
 
-    /// The whole answer, after `ended(Done)` of a request that is no stream.
+    /// The complete response, valid after `onEnded(Done)` of a non-streaming request.
     int status = 0;
     QByteArray contentType;
     QByteArray body;
-    Tokens generated; ///< By the answer's own count; answers that are no stream.
+    Tokens generated; ///< As reported by the response; non-streaming only.
 
 private:
     void readHead();
-    bool isAnswerToThis() const;
+    bool isResponseToThisRequest() const;
     void readBytes();
     void readStream(const QByteArray &bytes);
-    bool isFromAdapter(const QByteArray &json) const;
-    bool isWholeAnswer() const;
+    bool isResponseOfAdapter(const QByteArray &json) const;
+    bool isCompleteResponse() const;
     void finished();
     void end(AttemptOutcome outcome);
-    AttemptOutcome outcomeOfWhole();
+    AttemptOutcome outcomeOfResponse();
 
     UpstreamPool &pool;
     QPointer<QNetworkReply> reply;
@@ -68,13 +68,13 @@
     bool hasAnswerBegun = false;
     Tokens resumeFrom;
     bool isHeadChecked = false;
-    bool isModelChecked = false;
+    bool isAdapterChecked = false;
     bool isEnded = false;
     bool isReadingPaused = false;
     EventStream events;
-    Span idleLimit;
+    Span idleTimeout;
     Instant idleDeadline;
-    AttemptSinks sinks;
+    AttemptCallbacks callbacks;
 };
 
 } // namespace azurewell
--- a/packages/shell/src/caller_guard.cpp
+++ b/packages/shell/src/caller_guard.cpp
@@ -13,20 +13,20 @@
 
 } // namespace
 
-CallerGuard::CallerGuard(QTcpSocket *callerSocket, const Settings &limits, Refused onRefused)
+CallerGuard::CallerGuard(QTcpSocket *callerSocket, const Settings &limits, RefusalHandler onRefused)
     : QObject(callerSocket)
     , socket(callerSocket)
     , settings(limits)
-    , refused(std::move(onRefused))
+    , reportRefusal(std::move(onRefused))
     , deadline(monotonicNow() + limits.senderPatience)
 {
-    // Connected before QHttpServer connects, so the guard sees each byte first.
+    // Connected before QHttpServer, so that the guard sees each byte first.
     QObject::connect(this->socket, &QTcpSocket::readyRead, this, [this] { this->readyRead(); });
 }
 
 void CallerGuard::readyRead()
 {
-    // QHttpServer has taken all earlier bytes, so what is available is new.
+    // QHttpServer has consumed all earlier bytes, so all available bytes are new.
     const QByteArray bytes = this->socket->peek(this->socket->bytesAvailable());
     if (bytes.isEmpty())
         return;
@@ -36,25 +36,25 @@
         this->deadline = monotonicNow() + this->settings.senderPatience;
         [[fallthrough]];
     case Phase::Head:
-        this->takeHeadBytes(bytes);
+        this->readHeadBytes(bytes);
         return;
     case Phase::Body:
         this->countBody(bytes.size());
         return;
     case Phase::Closing:
     case Phase::Answering:
-        this->socket->readAll(); // a pipelined request: never begun
-        this->closesAfterAnswer = true;
+        this->socket->readAll(); // pipelined request: dropped unprocessed
+        this->closesAfterResponse = true;
         return;
     }
 }
 
-void CallerGuard::takeHeadBytes(const QByteArray &bytes)
+void CallerGuard::readHeadBytes(const QByteArray &bytes)
 {
     this->head += bytes;
     const qsizetype end = this->head.indexOf(headEnd);
     const qsizetype headBytes = end < 0 ? this->head.size() : end + 4;
-    if (headBytes > static_cast<qsizetype>(this->settings.mostHeadBytes)) {
+    if (headBytes > static_cast<qsizetype>(this->settings.maxHeadBytes)) {
         this->refuse(Error{ ResultCode::HeadTooLarge, {} });
         return;
     }
@@ -64,40 +64,40 @@
 
 void CallerGuard::beginBody(qsizetype headBytes)
 {
-    const qsizetype bodyBytesHere = this->head.size() - headBytes;
+    const qsizetype receivedBodyBytes = this->head.size() - headBytes;
     const Result<RequestHead> read = readRequestHead(this->head.left(headBytes));
     this->head.clear();
     if (!read) {
         this->refuse(read.error());
         return;
     }
-    if (read.value().contentLength > static_cast<qint64>(this->settings.mostBodyBytes)) {
+    if (read.value().contentLength > static_cast<qint64>(this->settings.maxBodyBytes)) {
         this->refuse(Error{ ResultCode::BodyTooLarge, {} });
         return;
     }
-    this->closesAfterAnswer = this->closesAfterAnswer || read.value().closes;
+    this->closesAfterResponse = this->closesAfterResponse || read.value().closes;
     this->phase = Phase::Body;
-    this->bodyLeft = read.value().contentLength;
-    this->countBody(bodyBytesHere);
+    this->remainingBodyBytes = read.value().contentLength;
+    this->countBody(receivedBodyBytes);
 }
 
 void CallerGuard::countBody(qsizetype bytes)
 {
-    this->bodyLeft -= bytes;
-    if (this->bodyLeft < 0) {
-        // Two requests in one write: QHttpServer would answer them crossed, so neither is begun.
+    this->remainingBodyBytes -= bytes;
+    if (this->remainingBodyBytes < 0) {
+        // Two requests in one write: QHttpServer would mix up the responses, so both are rejected.
         this->refuse(Error{ ResultCode::PipelinedRequest, {} });
         return;
     }
-    if (this->bodyLeft == 0)
+    if (this->remainingBodyBytes == 0)
         this->phase = Phase::Answering;
 }
 
-void CallerGuard::answerDone()
+void CallerGuard::responseSent()
 {
     if (this->phase != Phase::Answering)
         return;
-    if (this->closesAfterAnswer) {
+    if (this->closesAfterResponse) {
         this->close();
         return;
     }
@@ -107,13 +107,13 @@
 
 void CallerGuard::closeWhenIdle()
 {
-    this->closesAfterAnswer = true;
+    this->closesAfterResponse = true;
     if (this->phase == Phase::Idle)
         this->close();
 }
 
-/// Closes once all is written. A caller that reads nothing would keep the connection for ever, so
-/// that has a deadline too.
+/// Closes once all bytes are written, with a deadline: a caller that never reads would keep the
+/// connection open forever.
 void CallerGuard::close()
 {
     this->phase = Phase::Closing;
@@ -140,11 +140,11 @@
 
 void CallerGuard::refuse(const Error &error)
 {
-    this->refused(error.code);
+    this->reportRefusal(error.code);
     this->socket->readAll();
     QObject::disconnect(this->socket, &QTcpSocket::readyRead, nullptr, nullptr);
-    // What still comes is read and dropped: closing with unread bytes resets the connection, and
-    // the caller would lose the answer.
+    // Reads and drops further bytes: closing with unread bytes resets the connection, and the
+    // caller would lose the response.
     QObject::connect(this->socket, &QTcpSocket::readyRead, this,
                      [this] { this->socket->readAll(); });
     this->socket->write(
@@ -152,11 +152,11 @@
     this->close();
 }
 
-GuardedTcpServer::GuardedTcpServer(const Settings &limits, CallerGuard::Refused onRefused,
+GuardedTcpServer::GuardedTcpServer(const Settings &limits, CallerGuard::RefusalHandler onRefused,
                                    QObject *parent)
     : QTcpServer(parent)
     , settings(limits)
-    , refused(std::move(onRefused))
+    , reportRefusal(std::move(onRefused))
 {
 }
 
@@ -167,12 +167,12 @@
         delete socket;
         return;
     }
-    const std::uint32_t mostHere = std::max(
+    const std::uint32_t maxPerThread = std::max(
             1U, this->settings.mostConnections / this->settings.trafficThreads);
-    if (static_cast<std::uint32_t>(this->guards.size()) >= mostHere)
-        this->forgetClosed();
-    if (static_cast<std::uint32_t>(this->guards.size()) >= mostHere) {
-        this->refused(ResultCode::TooManyConnections);
+    if (static_cast<std::uint32_t>(this->guards.size()) >= maxPerThread)
+        this->removeClosed();
+    if (static_cast<std::uint32_t>(this->guards.size()) >= maxPerThread) {
+        this->reportRefusal(ResultCode::TooManyConnections);
         QObject::connect(socket, &QTcpSocket::disconnected, socket, &QObject::deleteLater);
         socket->write(refusalAnswer(
                 Refuse{ RequestId{}, ResultCode::TooManyConnections, RunState::NotRun, {}, {} }));
@@ -180,7 +180,7 @@
         return;
     }
     socket->setSocketOption(QAbstractSocket::LowDelayOption, 1);
-    CallerGuard *guard = new CallerGuard(socket, this->settings, this->refused);
+    CallerGuard *guard = new CallerGuard(socket, this->settings, this->reportRefusal);
     guard->setObjectName("guard");
     this->guards.push_back(guard);
     this->addPendingConnection(socket);
@@ -200,7 +200,7 @@
     return std::any_of(this->guards.begin(), this->guards.end(), isUnsent);
 }
 
-void GuardedTcpServer::forgetClosed()
+void GuardedTcpServer::removeClosed()
 {
     this->guards.removeIf([](const QPointer<CallerGuard> &guard) { return guard.isNull(); });
 }
@@ -215,7 +215,7 @@
 
 void GuardedTcpServer::checkDeadlines(Instant now)
 {
-    this->forgetClosed();
+    this->removeClosed();
     for (const QPointer<CallerGuard> &guard : std::as_const(this->guards)) {
         if (guard)
             guard->checkDeadline(now);
--- a/packages/shell/src/caller_request.cpp
+++ b/packages/shell/src/caller_request.cpp
@@ -15,10 +15,10 @@
 
 constexpr std::array<const char *, 3> keyHeaders{ "x-api-key", "api-key", "proxy-authorization" };
 constexpr std::array<const char *, 4> keyQueries{ "key", "api_key", "apikey", "access_token" };
-constexpr std::int64_t mostTokensAsked = 1'000'000;
+constexpr std::int64_t maxRequestedTokens = 1'000'000;
 
-/// The key must come once, in the Authorization header: in a query it would stand in the logs of
-/// everything between, and with two of them callers and host could mean different customers.
+/// Reads the key, which must appear once, in the Authorization header: in a query it would be
+/// logged by intermediaries, and with two keys caller and host could mean different customers.
 Result<KeyHash> readKey(const QHttpServerRequest &request)
 {
     QByteArray authorization;
@@ -54,7 +54,7 @@
     if (found == body.end() || found->is_null())
         return fallback;
     if (!found->is_number_integer() || found->get<std::int64_t>() < 1
-        || found->get<std::int64_t>() > mostTokensAsked)
+        || found->get<std::int64_t>() > maxRequestedTokens)
         return Error{ ResultCode::MalformedBody,
                       std::string(key) + " must be a whole number from 1 to 1000000" };
     return found->get<std::int64_t>();
@@ -72,13 +72,13 @@
     const auto stream = body.find("stream");
     if (stream != body.end() && !stream->is_boolean())
         return Error{ ResultCode::MalformedBody, "stream must be true or false" };
-    const Result<std::int64_t> most = readCount(body, "max_tokens", defaultMostGenerated);
-    if (!most)
-        return most.error();
+    const Result<std::int64_t> maxTokens = readCount(body, "max_tokens", defaultMaxTokens);
+    if (!maxTokens)
+        return maxTokens.error();
     read.arrived.kind = RequestKind::Completion;
     read.arrived.adapter = AdapterRef{ model->get<std::string>() };
     read.arrived.promptTokens = Tokens{ read.body.size() / bytesPerToken };
-    read.arrived.mostGenerated = Tokens{ most.value() };
+    read.arrived.mostGenerated = Tokens{ maxTokens.value() };
     read.isStream = stream != body.end() && stream->get<bool>();
     return read;
 }
@@ -98,8 +98,8 @@
     return read;
 }
 
-/// `POST /v1/call-numbers` with an optional `{ "count": N }`.
-Result<CallerRequest> readNumbersAsk(CallerRequest read)
+/// Reads `POST /v1/call-numbers` with an optional `{ "count": N }`.
+Result<CallerRequest> readCallNumbersRequest(CallerRequest read)
 {
     nlohmann::json body = nlohmann::json::object();
     if (!read.body.isEmpty())
@@ -146,8 +146,8 @@
     read.path = query.isEmpty() ? path : path + '?' + query;
     const bool isCompletion = path == "/v1/chat/completions" || path == "/v1/completions";
     const bool isServiceCall = path.startsWith("/services/");
-    const bool isNumbersAsk = path == "/v1/call-numbers";
-    if (!isCompletion && !isServiceCall && !isNumbersAsk)
+    const bool isCallNumbersRequest = path == "/v1/call-numbers";
+    if (!isCompletion && !isServiceCall && !isCallNumbersRequest)
         return Error{ ResultCode::UnknownPath, {} };
     const Result<KeyHash> key = readKey(request);
     if (!key)
@@ -159,8 +159,8 @@
     read.body = request.body();
     if (read.method.isEmpty() || (!isServiceCall && read.method != "POST"))
         return Error{ ResultCode::MalformedRequest, "the method does not fit the path" };
-    if (isNumbersAsk)
-        return readNumbersAsk(std::move(read));
+    if (isCallNumbersRequest)
+        return readCallNumbersRequest(std::move(read));
     read.callNumber = request.value("x-call-number");
     return isCompletion ? readCompletion(std::move(read)) : readServiceCall(std::move(read), path);
 }
--- a/packages/shell/src/control_loop.cpp
+++ b/packages/shell/src/control_loop.cpp
@@ -8,41 +8,41 @@
 
 namespace azurewell {
 
-/// Carries one action out.
-struct ControlLoop::Performer
+/// Executes one action.
+struct ControlLoop::ActionExecutor
 {
     ControlLoop &loop;
 
     void operator()(const Refuse &refusal) const
     {
-        noteEnded(this->loop.metrics, refusal.request, monotonicNow());
-        this->loop.toWorker(refusal.request, refusal);
-        this->loop.workerOf.erase(refusal.request);
+        recordEnd(this->loop.metrics, refusal.request, monotonicNow());
+        this->loop.sendToWorker(refusal.request, refusal);
+        this->loop.workerByRequest.erase(refusal.request);
     }
     void operator()(const Dispatch &dispatch) const
     {
         if (dispatch.attempt == 1)
-            noteDispatched(this->loop.metrics, dispatch.request, monotonicNow());
-        this->loop.toWorker(dispatch.request, dispatch);
+            recordDispatch(this->loop.metrics, dispatch.request, monotonicNow());
+        this->loop.sendToWorker(dispatch.request, dispatch);
     }
     void operator()(const CancelAttempt &cancel) const
     {
-        this->loop.toWorker(cancel.request, cancel);
+        this->loop.sendToWorker(cancel.request, cancel);
         this->loop.engines.cancel(cancel);
     }
     void operator()(const AnswerHeld &answer) const
     {
-        this->answered(answer.request, answer);
+        this->sendFinalResponse(answer.request, answer);
     }
     void operator()(const AnswerNumbers &answer) const
     {
-        this->answered(answer.request, answer);
+        this->sendFinalResponse(answer.request, answer);
     }
-    void answered(const RequestId &request, const TrafficOrder &order) const
+    void sendFinalResponse(const RequestId &request, const TrafficOrder &order) const
     {
-        noteEnded(this->loop.metrics, request, monotonicNow());
-        this->loop.toWorker(request, order);
-        this->loop.workerOf.erase(request);
+        recordEnd(this->loop.metrics, request, monotonicNow());
+        this->loop.sendToWorker(request, order);
+        this->loop.workerByRequest.erase(request);
     }
     void operator()(const SendPeer &message) const
     {
@@ -52,9 +52,9 @@
     {
         this->loop.engines.order(order);
     }
-    void operator()(const AskLoad &question) const
+    void operator()(const AskLoad &query) const
     {
-        this->loop.engines.askLoad(question);
+        this->loop.engines.queryLoad(query);
     }
     void operator()(const TicketNoted &ticket) const
     {
@@ -69,20 +69,23 @@
     }
 };
 
-ControlLoop::ControlLoop(Settings hostSettings, KnownCharts charts, std::function<void()> onLeave)
+ControlLoop::ControlLoop(Settings hostSettings, KnownCharts charts, std::function<void()> stopped)
     : settings(std::move(hostSettings))
     , state(makeHost(this->settings.self, std::move(charts)))
-    , leave(std::move(onLeave))
+    , onStopped(std::move(stopped))
     , peers(this->settings, this->metrics.peerLinks,
-            [this](const PeerMessage &message) { this->give(PeerMessageReceived{ message }); })
+            [this](const PeerMessage &message) {
+                this->handleEvent(PeerMessageReceived{ message });
+            })
     , platform(
               this->settings, [this] { return this->state.inForce.ticket; },
               [this](TicketNumber number) { return ticketReadDelay(this->state, number); },
-              [this](const Event &event) { this->give(event); })
-    , engines([this](const Event &event) { this->give(event); })
-    , operations([this](const QString &path) { return this->answerOperator(path); })
+              [this](const Event &event) { this->handleEvent(event); })
+    , engines([this](const Event &event) { this->handleEvent(event); })
+    , operations([this](const QString &path) { return this->handleOperationsRequest(path); })
 {
-    QObject::connect(&this->tick, &QTimer::timeout, this, [this] { this->give(Tick{}); });
+    QObject::connect(&this->tickTimer, &QTimer::timeout, this,
+                     [this] { this->handleEvent(Tick{}); });
 }
 
 ControlLoop::~ControlLoop()
@@ -128,7 +131,7 @@
     if (!port)
         return port;
     this->platform.start();
-    this->tick.start(static_cast<int>(toSeconds(tickInterval) * 1000));
+    this->tickTimer.start(static_cast<int>(toSeconds(tickInterval) * 1000));
     writeLog(LogLevel::Info, "started",
              { { "zone", this->settings.self.zone.value },
                { "incarnation", std::to_string(this->settings.self.incarnation.value) } });
@@ -143,7 +146,7 @@
         QMetaObject::invokeMethod(
                 traffic, [traffic] { traffic->drain(); }, Qt::QueuedConnection);
     }
-    this->give(StopAsked{ this->settings.drainGrace });
+    this->handleEvent(StopAsked{ this->settings.drainGrace });
 }
 
 void ControlLoop::finishWorkers()
@@ -164,61 +167,61 @@
 {
     --this->unfinishedWorkers;
     if (this->unfinishedWorkers == 0)
-        this->leave();
+        this->onStopped();
 }
 
-void ControlLoop::give(const Event &event)
+void ControlLoop::handleEvent(const Event &event)
 {
     std::vector<Action> actions;
     handle(this->state, event, monotonicNow(), actions);
-    this->carryOut(actions);
+    this->executeActions(actions);
 }
 
-void ControlLoop::carryOut(const std::vector<Action> &actions)
+void ControlLoop::executeActions(const std::vector<Action> &actions)
 {
     for (const Action &action : actions)
-        std::visit(Performer{ *this }, action);
+        std::visit(ActionExecutor{ *this }, action);
 }
 
 void ControlLoop::report(std::uint32_t worker, const TrafficReport &report)
 {
-    if (const RefusedEarly *refused = std::get_if<RefusedEarly>(&report)) {
+    if (const LocalRefusal *refused = std::get_if<LocalRefusal>(&report)) {
         countRefusal(this->state.counters, refused->code);
         return;
     }
-    if (const auto *made = std::get_if<std::vector<AttemptProgress>>(&report)) {
-        for (const AttemptProgress &progress : *made)
-            this->give(progress);
+    if (const auto *progressReports = std::get_if<std::vector<AttemptProgress>>(&report)) {
+        for (const AttemptProgress &progress : *progressReports)
+            this->handleEvent(progress);
         return;
     }
     const Event &event = std::get<Event>(report);
     if (const RequestArrived *arrived = std::get_if<RequestArrived>(&event)) {
-        this->workerOf[arrived->request] = worker;
-        noteArrived(this->metrics, arrived->request, monotonicNow());
+        this->workerByRequest[arrived->request] = worker;
+        recordArrival(this->metrics, arrived->request, monotonicNow());
     }
-    this->give(event);
+    this->handleEvent(event);
     const AttemptEnded *ended = std::get_if<AttemptEnded>(&event);
     if (ended && ended->outcome == AttemptOutcome::Done) {
-        noteEnded(this->metrics, ended->request, monotonicNow());
-        this->workerOf.erase(ended->request);
+        recordEnd(this->metrics, ended->request, monotonicNow());
+        this->workerByRequest.erase(ended->request);
     }
     if (const CallerLeft *left = std::get_if<CallerLeft>(&event)) {
-        noteEnded(this->metrics, left->request, monotonicNow());
-        this->workerOf.erase(left->request);
+        recordEnd(this->metrics, left->request, monotonicNow());
+        this->workerByRequest.erase(left->request);
     }
 }
 
-void ControlLoop::toWorker(const RequestId &request, const TrafficOrder &order)
+void ControlLoop::sendToWorker(const RequestId &request, const TrafficOrder &order)
 {
-    const auto found = this->workerOf.find(request);
-    if (found == this->workerOf.end())
+    const auto found = this->workerByRequest.find(request);
+    if (found == this->workerByRequest.end())
         return;
     TrafficWorker *traffic = this->workers[found->second].traffic;
     QMetaObject::invokeMethod(
             traffic, [traffic, order] { traffic->carryOut(order); }, Qt::QueuedConnection);
 }
 
-std::optional<OperationsAnswer> ControlLoop::answerOperator(const QString &path) const
+std::optional<OperationsAnswer> ControlLoop::handleOperationsRequest(const QString &path) const
 {
     if (path == "/healthz")
         return OperationsAnswer{ 200, "text/plain", "ok\n" };
@@ -253,7 +256,7 @@
     json["zone"] = this->state.self.zone.value;
     json["ticket"] = inForce.ticket.value;
     const TicketState &tickets = this->state.tickets;
-    if (tickets.refused.value > 0) // the tickets after it wait
+    if (tickets.refused.value > 0) // later tickets are blocked by it
         json["refused_ticket"] = { { "ticket", tickets.refused.value },
                                    { "why", tickets.refusedWhy } };
     json["longest_without_news"] = toSeconds(inForce.fleet.longestWithoutNews);
--- a/packages/shell/src/engine_orders.cpp
+++ b/packages/shell/src/engine_orders.cpp
@@ -18,8 +18,8 @@
     return request;
 }
 
-/// The fencing number for which the engine refused an order; 0 where it did not.
-FencingNumber highestOf(const QNetworkReply *reply)
+/// Returns the fencing number for which the engine rejected an order; 0 if it did not.
+FencingNumber highestFencingNumber(const QNetworkReply *reply)
 {
     return FencingNumber{ reply->rawHeader("X-Fencing-Number").toULongLong() };
 }
@@ -42,8 +42,8 @@
 
 } // namespace
 
-EngineOrders::EngineOrders(Answered onAnswered)
-    : answered(std::move(onAnswered))
+EngineOrders::EngineOrders(EventHandler onEvent)
+    : handleEvent(std::move(onEvent))
 {
 }
 
@@ -51,8 +51,9 @@
 {
     const Instant now = monotonicNow();
     if (now >= order.notAfter) {
-        // The process was stopped since it decided; another host may keep the engine by now.
-        this->answered(
+        // The process was suspended after the decision; another host may coordinate the engine by
+        // now.
+        this->handleEvent(
                 OrderEnded{ order.engine, order.adapter, order.isLoad, false, order.fencing, {} });
         return;
     }
@@ -68,24 +69,24 @@
                                            request, QByteArray::fromStdString(body));
     QObject::connect(reply, &QNetworkReply::finished, this, [this, reply, order] {
         reply->deleteLater();
-        this->answered(OrderEnded{ order.engine, order.adapter, order.isLoad,
-                                   reply->error() == QNetworkReply::NoError, order.fencing,
-                                   highestOf(reply) });
+        this->handleEvent(OrderEnded{ order.engine, order.adapter, order.isLoad,
+                                      reply->error() == QNetworkReply::NoError, order.fencing,
+                                      highestFencingNumber(reply) });
     });
 }
 
-void EngineOrders::askLoad(const AskLoad &question)
+void EngineOrders::queryLoad(const AskLoad &query)
 {
-    const QNetworkRequest request = requestTo(question.address, "/load", reportTimeoutMillis);
-    QNetworkReply *reply = this->pool.send("GET", QByteArray::fromStdString(question.address),
-                                           request, {});
-    QObject::connect(reply, &QNetworkReply::finished, this, [this, reply, question] {
+    const QNetworkRequest request = requestTo(query.address, "/load", reportTimeoutMillis);
+    QNetworkReply *reply = this->pool.send("GET", QByteArray::fromStdString(query.address), request,
+                                           {});
+    QObject::connect(reply, &QNetworkReply::finished, this, [this, reply, query] {
         reply->deleteLater();
         const bool isAnswered = reply->error() == QNetworkReply::NoError;
-        LoadReported report = parseReport(question.engine,
+        LoadReported report = parseReport(query.engine,
                                           isAnswered ? reply->readAll() : QByteArray());
-        report.askedAt = question.askedAt;
-        this->answered(report);
+        report.askedAt = query.askedAt;
+        this->handleEvent(report);
     });
 }
 
--- a/packages/shell/src/event_stream.cpp
+++ b/packages/shell/src/event_stream.cpp
@@ -26,10 +26,10 @@
     return {};
 }
 
-Result<WholeEvents> takeEvents(EventStream &stream, const QByteArray &bytes)
+Result<CompleteEvents> takeEvents(EventStream &stream, const QByteArray &bytes)
 {
-    WholeEvents whole;
-    // An end that is cut in two begins with the last byte that was there before.
+    CompleteEvents whole;
+    // A separator split across reads begins with the last byte of the previous one.
     qsizetype searchFrom = std::max<qsizetype>(0, stream.partial.size() - 1);
     stream.partial += bytes;
     if (bytes.contains('\r')) {
@@ -52,8 +52,8 @@
         whole.tokens += Tokens{ data.isEmpty() ? 0 : 1 };
     }
     stream.partial.remove(0, taken);
-    if (stream.partial.size() > longestEvent)
-        return Error{ ResultCode::MessageInvalid, "an event is too long" };
+    if (stream.partial.size() > maxEventBytes)
+        return Error{ ResultCode::MessageInvalid, "server-sent event longer than 1 MiB" };
     return whole;
 }
 
--- a/packages/shell/src/http_text.cpp
+++ b/packages/shell/src/http_text.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 QByteArray answerHead(int status, const QByteArray &contentType, qsizetype bodyBytes,
-                      const RequestId &request, const QByteArray &moreHeaders)
+                      const RequestId &request, const QByteArray &extraHeaders)
 {
     QByteArray head = "HTTP/1.1 " + QByteArray::number(status) + ' ' + reasonPhrase(status)
             + "\r\n";
@@ -36,20 +36,20 @@
     head += "Content-Length: " + QByteArray::number(bodyBytes) + "\r\n";
     if (!request.value.empty())
         head += "X-Request-Id: " + QByteArray::fromStdString(request.value) + "\r\n";
-    return head + moreHeaders + "\r\n";
+    return head + extraHeaders + "\r\n";
 }
 
 QByteArray chunkedHead(const QByteArray &contentType, const RequestId &request,
-                       const QByteArray &moreHeaders)
+                       const QByteArray &extraHeaders)
 {
     QByteArray head = "HTTP/1.1 200 OK\r\nContent-Type: " + contentType
             + "\r\nTransfer-Encoding: chunked\r\n";
     head += "Cache-Control: no-store\r\nX-Request-Id: " + QByteArray::fromStdString(request.value)
-            + "\r\n" + moreHeaders + "\r\n";
+            + "\r\n" + extraHeaders + "\r\n";
     return head;
 }
 
-QByteArray chunkOf(const QByteArray &data)
+QByteArray encodeChunk(const QByteArray &data)
 {
     return QByteArray::number(data.size(), 16) + "\r\n" + data + "\r\n";
 }
--- a/packages/shell/src/metrics.cpp
+++ b/packages/shell/src/metrics.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Bounds in seconds; 0.31 is the users' goal for the first token.
+/// Bucket bounds in seconds; 0.31 s is the target for the first token.
 const std::vector<double> bounds{ 0.0, 0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1,
                                   0.2, 0.31,   0.5,   1.0,   2.0,   5.0,  10.0, 30.0, 120.0 };
 
@@ -77,12 +77,12 @@
 {
 }
 
-void noteArrived(Metrics &metrics, const RequestId &request, Instant now)
+void recordArrival(Metrics &metrics, const RequestId &request, Instant now)
 {
     metrics.arrivedAt[request] = now;
 }
 
-void noteDispatched(Metrics &metrics, const RequestId &request, Instant now)
+void recordDispatch(Metrics &metrics, const RequestId &request, Instant now)
 {
     const auto arrived = metrics.arrivedAt.find(request);
     if (arrived == metrics.arrivedAt.end())
@@ -92,7 +92,7 @@
     metrics.admissionSum += seconds;
 }
 
-void noteEnded(Metrics &metrics, const RequestId &request, Instant now)
+void recordEnd(Metrics &metrics, const RequestId &request, Instant now)
 {
     const auto arrived = metrics.arrivedAt.find(request);
     if (arrived == metrics.arrivedAt.end())
--- a/packages/shell/src/one_shot_device.cpp
+++ b/packages/shell/src/one_shot_device.cpp
@@ -31,9 +31,9 @@
     return false;
 }
 
-qint64 OneShotDevice::readData(char *to, qint64 most)
+qint64 OneShotDevice::readData(char *to, qint64 maxCount)
 {
-    const qint64 count = std::min<qint64>(most, this->content.size() - this->position);
+    const qint64 count = std::min<qint64>(maxCount, this->content.size() - this->position);
     if (count <= 0)
         return -1;
     std::memcpy(to, this->content.constData() + this->position, static_cast<std::size_t>(count));
--- a/packages/shell/src/operations_server.cpp
+++ b/packages/shell/src/operations_server.cpp
@@ -9,8 +9,8 @@
 
 namespace azurewell {
 
-OperationsServer::OperationsServer(Answer answerTo)
-    : answer(std::move(answerTo))
+OperationsServer::OperationsServer(RequestHandler handler)
+    : handlePath(std::move(handler))
 {
 }
 
@@ -26,7 +26,7 @@
 
 bool OperationsServer::handleRequest(const QHttpServerRequest &request, QTcpSocket *socket)
 {
-    const std::optional<OperationsAnswer> found = this->answer(request.url().path());
+    const std::optional<OperationsAnswer> found = this->handlePath(request.url().path());
     if (!found)
         return false;
     socket->write(answerHead(found->status, found->contentType, found->body.size(), RequestId{})
--- a/packages/shell/src/peer_frame.cpp
+++ b/packages/shell/src/peer_frame.cpp
@@ -11,12 +11,12 @@
 constexpr qsizetype serialBytes = 8;
 constexpr qsizetype macBytes = 32;
 
-QByteArray macOf(const QByteArray &key, const HostId &receiver, const QByteArray &serial,
-                 const QByteArray &payload)
+QByteArray computeMac(const QByteArray &key, const HostId &receiver, const QByteArray &serial,
+                      const QByteArray &payload)
 {
     QMessageAuthenticationCode mac(QCryptographicHash::Sha256, key);
     mac.addData(QByteArray::fromStdString(receiver.value));
-    mac.addData("\n", 1); // ends the name: no two receivers and serials run together alike
+    mac.addData("\n", 1); // separator: keeps receiver and serial unambiguous
     mac.addData(serial);
     mac.addData(payload);
     return mac.result();
@@ -43,19 +43,19 @@
     qToBigEndian<quint64>(serial, serialText.data());
     QByteArray length(static_cast<qsizetype>(frameHeadBytes), '\0');
     qToBigEndian<quint32>(static_cast<quint32>(sealBytes + payload.size()), length.data());
-    return length + serialText + macOf(key, receiver, serialText, payload) + payload;
+    return length + serialText + computeMac(key, receiver, serialText, payload) + payload;
 }
 
 Result<OpenedFrame> openFrame(const QByteArray &key, const HostId &receiver,
                               const QByteArray &content)
 {
     if (content.size() < static_cast<qsizetype>(sealBytes))
-        return Error{ ResultCode::MessageInvalid, "the frame is too short for its seal" };
+        return Error{ ResultCode::MessageInvalid, "frame too short for serial and HMAC" };
     const QByteArray serial = content.left(serialBytes);
     const QByteArray payload = content.mid(serialBytes + macBytes);
-    const QByteArray wanted = macOf(key, receiver, serial, payload);
-    if (!isEqualInConstantTime(wanted, content.mid(serialBytes, macBytes)))
-        return Error{ ResultCode::MessageInvalid, "the seal is not valid" };
+    const QByteArray expected = computeMac(key, receiver, serial, payload);
+    if (!isEqualInConstantTime(expected, content.mid(serialBytes, macBytes)))
+        return Error{ ResultCode::MessageInvalid, "HMAC verification failed" };
     return OpenedFrame{ qFromBigEndian<quint64>(serial.constData()), payload };
 }
 
--- a/packages/shell/src/peer_links.cpp
+++ b/packages/shell/src/peer_links.cpp
@@ -10,37 +10,39 @@
 
 namespace {
 
-/// Bytes that may wait for a slow peer; beyond, its connection is dropped and messages to it are
-/// lost, which every sender of a message can bear.
-constexpr qint64 mostWaitingBytes = 4 << 20;
-/// Four heartbeats: a link that answers none of them is opened again well before the other host
-/// counts as gone.
-constexpr Span linkPatience = fromSeconds(2);
-/// An incoming connection without a frame; hosts send each other two a second.
-constexpr Span incomingPatience = fromSeconds(30);
-constexpr int silenceCheckMillis = 5'000;
-/// Incoming connections: a host of a fleet ten times the planned one, not whoever opens more.
-constexpr qsizetype mostIncoming = 4096;
-constexpr std::size_t mostSenders = 4096;
+/// Unsent bytes per peer above which its connection is dropped. Messages are lost then, which every
+/// sender tolerates.
+constexpr qint64 maxUnsentPeerBytes = 4 << 20;
+/// Four heartbeat intervals: a link without acknowledgement is reopened well before the other host
+/// is considered dead.
+constexpr Span acknowledgementTimeout = fromSeconds(2);
+/// Incoming connections without a frame for this long are closed; hosts send two frames per second.
+constexpr Span incomingIdleTimeout = fromSeconds(30);
+constexpr int idleCheckMillis = 5'000;
+/// Limit of incoming connections: enough for ten times the planned fleet, while bounding abuse.
+constexpr qsizetype maxIncomingConnections = 4096;
+constexpr std::size_t maxSenders = 4096;
 
 } // namespace
 
-PeerLinks::PeerLinks(const Settings &settings, PeerLinkCounters &counts, Received onReceived)
+PeerLinks::PeerLinks(const Settings &settings, PeerLinkCounters &counts, MessageHandler onReceived)
     : self(settings.self)
     , endpoint(settings.peers)
     , key(QByteArray::fromStdString(settings.peerKey))
     , counters(counts)
-    , received(std::move(onReceived))
+    , handleMessage(std::move(onReceived))
 {
-    QObject::connect(&this->server, &QTcpServer::newConnection, this, [this] { this->accepted(); });
-    QObject::connect(&this->silenceTimer, &QTimer::timeout, this, [this] { this->closeSilent(); });
-    this->silenceTimer.start(silenceCheckMillis);
+    QObject::connect(&this->server, &QTcpServer::newConnection, this,
+                     [this] { this->acceptConnections(); });
+    QObject::connect(&this->idleTimer, &QTimer::timeout, this,
+                     [this] { this->closeIdleConnections(); });
+    this->idleTimer.start(idleCheckMillis);
 }
 
-/// Sockets tell of their end while they are destroyed, which is after the members they would reach.
+/// Disconnects the sockets: they are destroyed after the members that their signal handlers use.
 PeerLinks::~PeerLinks()
 {
-    for (auto entry = this->silentAt.cbegin(); entry != this->silentAt.cend(); ++entry)
+    for (auto entry = this->idleDeadlines.cbegin(); entry != this->idleDeadlines.cend(); ++entry)
         entry.key()->disconnect(this);
     for (const auto &[address, link] : this->links) {
         if (link.socket)
@@ -56,35 +58,37 @@
                       "peers: " + this->server.errorString().toStdString() };
     if (this->key.isEmpty())
         writeLog(LogLevel::Warning, "peer_key_missing",
-                 { { "effect", "whoever reaches the peer port can act as a host" } });
+                 { { "effect",
+                     "messages between hosts are not authenticated; anyone who reaches the peer "
+                     "port can act as a host" } });
     return this->server.serverPort();
 }
 
-void PeerLinks::accepted()
+void PeerLinks::acceptConnections()
 {
     while (QTcpSocket *socket = this->server.nextPendingConnection()) {
-        if (this->silentAt.size() >= mostIncoming) {
+        if (this->idleDeadlines.size() >= maxIncomingConnections) {
             socket->abort();
             socket->deleteLater();
             continue;
         }
-        // A sender that writes without end fills no more than one frame.
+        // Buffers at most one frame of a sender that writes without end.
         socket->setReadBufferSize(longestFrame + frameHeadBytes + sealBytes);
-        this->silentAt[socket] = monotonicNow() + incomingPatience;
+        this->idleDeadlines[socket] = monotonicNow() + incomingIdleTimeout;
         QObject::connect(socket, &QTcpSocket::readyRead, this,
                          [this, socket] { this->readFrames(socket); });
         QObject::connect(socket, &QTcpSocket::disconnected, this, [this, socket] {
-            this->silentAt.remove(socket);
+            this->idleDeadlines.remove(socket);
             socket->deleteLater();
         });
     }
 }
 
-void PeerLinks::closeSilent()
+void PeerLinks::closeIdleConnections()
 {
     const Instant now = monotonicNow();
     std::vector<QTcpSocket *> silent;
-    for (auto entry = this->silentAt.cbegin(); entry != this->silentAt.cend(); ++entry) {
+    for (auto entry = this->idleDeadlines.cbegin(); entry != this->idleDeadlines.cend(); ++entry) {
         if (entry.value() <= now)
             silent.push_back(entry.key());
     }
@@ -114,25 +118,25 @@
         if (socket->bytesAvailable() < static_cast<qint64>(frameHeadBytes) + length.value())
             break;
         socket->skip(frameHeadBytes);
-        this->takeFrame(socket, socket->read(length.value()));
+        this->handleFrame(socket, socket->read(length.value()));
         if (socket->state() != QAbstractSocket::ConnectedState)
             return;
         hasRead = true;
     }
     if (!hasRead)
         return;
-    this->silentAt[socket] = monotonicNow() + incomingPatience;
+    this->idleDeadlines[socket] = monotonicNow() + incomingIdleTimeout;
     socket->write(QByteArray(frameHeadBytes, '\0'));
 }
 
-/// A frame that was recorded and sent again is as well sealed as the first time.
-bool PeerLinks::isSentBefore(const PeerMessage &message, std::uint64_t serial)
+/// Whether the frame is a replay: a recorded frame passes authentication again.
+bool PeerLinks::isReplayed(const PeerMessage &message, std::uint64_t serial)
 {
-    if (this->newest.size() >= mostSenders && !this->newest.contains(message.sender))
+    if (this->newestSerials.size() >= maxSenders && !this->newestSerials.contains(message.sender))
         return true;
-    auto &[incarnation, newestSerial] = this->newest[message.sender];
+    auto &[incarnation, newestSerial] = this->newestSerials[message.sender];
     if (message.incarnation < incarnation)
-        return false; // of an earlier life; the core counts and drops it
+        return false; // of an earlier incarnation; counted and dropped by the host state
     if (message.incarnation == incarnation && serial <= newestSerial)
         return true;
     incarnation = message.incarnation;
@@ -140,7 +144,7 @@
     return false;
 }
 
-void PeerLinks::takeFrame(QTcpSocket *socket, const QByteArray &content)
+void PeerLinks::handleFrame(QTcpSocket *socket, const QByteArray &content)
 {
     const Result<OpenedFrame> frame = openFrame(this->key, this->self.id, content);
     if (!frame) {
@@ -154,11 +158,11 @@
         this->refuse(socket, message.error().detail);
         return;
     }
-    if (this->isSentBefore(message.value(), frame.value().serial)) {
+    if (this->isReplayed(message.value(), frame.value().serial)) {
         ++this->counters.framesRefused;
         return;
     }
-    this->received(message.value());
+    this->handleMessage(message.value());
 }
 
 PeerLinks::Link *PeerLinks::linkTo(const std::string &address)
@@ -174,7 +178,7 @@
     link = Link{ socket, false, {} };
     QObject::connect(socket, &QTcpSocket::readyRead, this, [this, socket, address] {
         socket->readAll();
-        this->links[address].isAnswerDue = false;
+        this->links[address].isAcknowledgementDue = false;
     });
     QObject::connect(socket, &QTcpSocket::disconnected, socket, &QObject::deleteLater);
     QObject::connect(socket, &QTcpSocket::errorOccurred, socket, &QObject::deleteLater);
@@ -187,24 +191,24 @@
 {
     const Instant now = monotonicNow();
     Link *link = this->linkTo(address);
-    if (link && link->isAnswerDue && now >= link->answerBy) {
+    if (link && link->isAcknowledgementDue && now >= link->acknowledgementDeadline) {
         ++this->counters.linksReopened;
-        delete link->socket; // at once: a late answer on it must not count for the new one
+        delete link->socket; // immediately: a late acknowledgement must not count for the new link
         link = this->linkTo(address);
     }
     if (!link)
         return;
-    if (link->socket->bytesToWrite() > mostWaitingBytes) {
+    if (link->socket->bytesToWrite() > maxUnsentPeerBytes) {
         ++this->counters.messagesDropped;
         link->socket->abort();
         return;
     }
     const PeerMessage message{ this->self.id, this->self.incarnation, body };
     link->socket->write(sealFrame(this->key, to, this->nextSerial++, message));
-    if (link->isAnswerDue)
+    if (link->isAcknowledgementDue)
         return;
-    link->isAnswerDue = true;
-    link->answerBy = now + linkPatience;
+    link->isAcknowledgementDue = true;
+    link->acknowledgementDeadline = now + acknowledgementTimeout;
 }
 
 } // namespace azurewell
--- a/packages/shell/src/platform_watcher.cpp
+++ b/packages/shell/src/platform_watcher.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-/// A confirmed ticket is to be in force everywhere after this.
-constexpr int inForceWithinMillis = 16'000;
+/// Limit for a confirmed ticket to be in force on all hosts.
+constexpr int propagationTimeoutMillis = 16'000;
 
-constexpr int pauseAfterFailureMillis = 1000;
+constexpr int retryDelayMillis = 1000;
 constexpr int watchSeconds = 10;
 
-/// A read that is not answered so long after its answer was due has gone silent.
-constexpr int answerSlackMillis = 1500;
+/// Timeout of a read, in addition to the time that the service may block it.
+constexpr int responseSlackMillis = 1500;
 
-// A silent service looks like one without changes: the watch, a first read after it and the read of
-// the ticket have to end in time.
-static_assert(watchSeconds * 1000 + 3 * answerSlackMillis + pauseAfterFailureMillis
-              < inForceWithinMillis);
+// An unresponsive service looks like one without changes: the watch, the first read after it and
+// the read of the ticket must all end within the limit.
+static_assert(watchSeconds * 1000 + 3 * responseSlackMillis + retryDelayMillis
+              < propagationTimeoutMillis);
 
 } // namespace
 
@@ -47,21 +47,21 @@
     return list;
 }
 
-PlatformWatcher::PlatformWatcher(const Settings &hostSettings, TicketInForce ticketInForce,
-                                 ReadDelay delay, Read onRead)
+PlatformWatcher::PlatformWatcher(const Settings &hostSettings, CurrentTicket currentTicket,
+                                 ReadDelay delay, EventHandler onEvent)
     : settings(hostSettings)
-    , inForce(std::move(ticketInForce))
+    , inForce(std::move(currentTicket))
     , readDelay(std::move(delay))
-    , read(std::move(onRead))
+    , handleEvent(std::move(onEvent))
 {
     this->access.setProxy(QNetworkProxy::NoProxy);
     this->head.key = "tickets/head";
     this->head.changed = [this](const QByteArray &value) {
-        this->headRead(value);
+        this->handleHead(value);
     };
     this->hosts.key = "hosts";
     this->hosts.changed = [this](const QByteArray &value) {
-        this->hostsRead(value);
+        this->handleHostList(value);
     };
 }
 
@@ -70,11 +70,11 @@
     this->watch(this->hosts);
 }
 
-/// The tickets are read only once the host list is known: a host that starts has to ask the others
-/// before it believes a service that may be stale.
-void PlatformWatcher::hostsAnswered()
+/// Starts reading tickets once the host list is known: a starting host must query other hosts
+/// before it trusts a configuration service that may be stale.
+void PlatformWatcher::startHeadWatch()
 {
-    if (std::exchange(this->isHeadWatched, true))
+    if (std::exchange(this->isWatchingHead, true))
         return;
     this->watch(this->head);
 }
@@ -85,7 +85,7 @@
                                                + this->settings.keyPrefix + "/")
             + key + "?raw" + QString::fromUtf8(query);
     QNetworkRequest request{ QUrl(url) };
-    request.setTransferTimeout(waitMillis + answerSlackMillis);
+    request.setTransferTimeout(waitMillis + responseSlackMillis);
     return this->access.get(request);
 }
 
@@ -102,11 +102,10 @@
         if (watch.isProbe) {
             writeLog(LogLevel::Debug, "platform_unreachable",
                      { { "key", watch.key.toStdString() } });
-            QTimer::singleShot(pauseAfterFailureMillis, this,
-                               [this, &watch] { this->watch(watch); });
+            QTimer::singleShot(retryDelayMillis, this, [this, &watch] { this->watch(watch); });
             return;
         }
-        this->read(PlatformHeard{});
+        this->handleEvent(PlatformHeard{});
         const QByteArray index = reply->rawHeader("X-Consul-Index");
         const bool hasChanged = index != watch.index;
         watch.index = index.isEmpty() ? QByteArray("0") : index;
@@ -116,12 +115,13 @@
     });
 }
 
-void PlatformWatcher::headRead(const QByteArray &value)
+void PlatformWatcher::handleHead(const QByteArray &value)
 {
-    // A service that goes back to an older index shows an older head; what is in force stays.
-    this->newest = std::max<std::uint64_t>(this->newest, value.trimmed().toULongLong());
-    const bool isFresh = this->inForce().value == 0 && this->newest > 1;
-    if (isFresh && !std::exchange(this->isSnapshotTried, true)) {
+    // A service that reverts to an older index returns an older head; tickets in force stay in
+    // force.
+    this->newestTicket = std::max<std::uint64_t>(this->newestTicket, value.trimmed().toULongLong());
+    const bool isFresh = this->inForce().value == 0 && this->newestTicket > 1;
+    if (isFresh && !std::exchange(this->isSnapshotRequested, true)) {
         this->readSnapshotIndex();
         return;
     }
@@ -136,18 +136,18 @@
     QObject::connect(reply, &QNetworkReply::finished, this, [this, reply] {
         reply->deleteLater();
         this->isReadingTicket = false;
-        const bool isThere = reply->error() == QNetworkReply::NoError;
+        const bool isPresent = reply->error() == QNetworkReply::NoError;
         const Result<SnapshotIndex> index = parseSnapshotIndex(reply->readAll().toStdString());
-        if (isThere && index)
+        if (isPresent && index)
             this->readSegment(index.value().ticket.value, 0, index.value().segments);
-        else // none is published: every ticket from the first is read
+        else // no snapshot is published: read all tickets from the first
             this->readNextTicket();
     });
 }
 
 void PlatformWatcher::readSegment(std::uint64_t ticket, std::uint32_t segment, std::uint32_t count)
 {
-    if (segment >= count || this->inForce().value >= ticket) { // a peer may have been faster
+    if (segment >= count || this->inForce().value >= ticket) { // may have been received from a peer
         this->readNextTicket();
         return;
     }
@@ -159,7 +159,7 @@
         this->isReadingTicket = false;
         const bool isRead = reply->error() == QNetworkReply::NoError;
         if (isRead)
-            this->read(SnapshotRead{ reply->readAll().toStdString() });
+            this->handleEvent(SnapshotRead{ reply->readAll().toStdString() });
         this->readSegment(ticket, isRead ? segment + 1 : count, count);
     });
 }
@@ -172,7 +172,7 @@
 void PlatformWatcher::readNextTicket()
 {
     const std::uint64_t next = this->inForce().value + 1;
-    if (this->isReadingTicket || next > this->newest)
+    if (this->isReadingTicket || next > this->newestTicket)
         return;
     this->isReadingTicket = true;
     QNetworkReply *reply = this->get("tickets/" + QString::number(next), {}, 0);
@@ -180,21 +180,21 @@
         reply->deleteLater();
         this->isReadingTicket = false;
         if (reply->error() == QNetworkReply::NoError)
-            this->read(TicketRead{ reply->readAll().toStdString() });
+            this->handleEvent(TicketRead{ reply->readAll().toStdString() });
         const bool isApplied = this->inForce().value >= next;
-        this->readNextTicketAfter(isApplied ? 0 : pauseAfterFailureMillis);
+        this->readNextTicketAfter(isApplied ? 0 : retryDelayMillis);
     });
 }
 
-void PlatformWatcher::hostsRead(const QByteArray &value)
+void PlatformWatcher::handleHostList(const QByteArray &value)
 {
     const Result<HostListRead> list = parseHostList(value.toStdString());
     if (!list) {
         writeLog(LogLevel::Warning, "host_list_refused", { { "reason", list.error().detail } });
         return;
     }
-    this->read(list.value());
-    this->hostsAnswered();
+    this->handleEvent(list.value());
+    this->startHeadWatch();
 }
 
 } // namespace azurewell
--- a/packages/shell/src/request_head.cpp
+++ b/packages/shell/src/request_head.cpp
@@ -27,7 +27,8 @@
     return !name.isEmpty() && std::all_of(name.begin(), name.end(), isTokenLetter);
 }
 
-/// The path is printable ASCII: QUrl and http_parser take other bytes differently.
+/// Whether the target is an absolute path of printable ASCII; QUrl and http_parser treat other
+/// bytes differently.
 bool isTarget(const QByteArray &target)
 {
     const auto isPrintable = [](char letter) {
@@ -45,10 +46,10 @@
 {
     if (parts.size() != 3 || parts[2] != "HTTP/1.1" || !isTarget(parts[1]))
         return false;
-    const auto isIt = [&parts](std::string_view method) {
+    const auto isMethod = [&parts](std::string_view method) {
         return parts[0] == method.data();
     };
-    return std::any_of(methods.begin(), methods.end(), isIt);
+    return std::any_of(methods.begin(), methods.end(), isMethod);
 }
 
 Error malformed(const char *detail)
--- a/packages/shell/src/run_host.cpp
+++ b/packages/shell/src/run_host.cpp
@@ -16,8 +16,9 @@
 
 namespace {
 
-/// SIGTERM and SIGINT as a descriptor, so that they arrive as events and interrupt nothing. Blocked
-/// before any thread starts; otherwise a traffic thread would take the signal and end the process.
+/// Returns a descriptor for SIGTERM and SIGINT, so that they arrive as events. They are blocked
+/// before any thread starts; otherwise a traffic thread would receive the signal and end the
+/// process.
 UniqueFd openStopSignals()
 {
     sigset_t signals;
--- a/packages/shell/src/settings.cpp
+++ b/packages/shell/src/settings.cpp
@@ -10,28 +10,28 @@
 namespace {
 
 constexpr std::string_view defaultText = R"({
-  // The name of this host in the platform's host list.
+  // Name of this host in the platform's host list.
   "host": "h1",
-  // The availability zone this host is in, and the place in the zone that it fills (from 0). A host
-  // that replaces another one takes its place. No two hosts may fill the same place.
+  // Availability zone of this host, and its ordinal in the zone (from 0). A replacement host uses the
+  // ordinal of the host it replaces. No two hosts of a zone may use the same ordinal.
   "zone": "centro",
   "seat": 0,
 
-  // Where callers, other hosts and operators connect: IP and port.
+  // Listening addresses for callers, other hosts and operators: IP and port.
   "callers": "127.0.0.1:8080",
   "peers": "127.0.0.1:7070",
   "operations": "127.0.0.1:9090",
-  // The same secret text on all hosts, at least 16 characters: messages between hosts are sealed with
-  // it. Without it, whoever reaches the peer port can act as a host.
+  // Secret shared by all hosts, at least 16 characters, that authenticates messages between them.
+  // Without it, anyone who reaches the peer port can act as a host.
   // "peer_key": "at least sixteen characters",
 
-  // The configuration service (read only), and the prefix of our keys in it.
+  // The configuration service (read only), and the prefix of azurewell's keys in it.
   "platform": "http://127.0.0.1:8500",
   "key_prefix": "azurewell",
 
-  // Where the state charts are.
+  // Directory of the state charts.
   "charts": "charts",
-  // Threads that carry traffic, 1 to 64; one more holds control state.
+  // Number of traffic threads, 1 to 64; one further thread owns the control state.
   "traffic_threads": 2,
   // debug, info, warning or error.
   "log_level": "info",
@@ -43,23 +43,24 @@
   "sender_patience_s": 10,
   "keep_alive_s": 60,
   "request_patience_s": 120,
-  // A caller that leaves this much of its stream unread for so long is dropped.
+  // A caller that does not read its paused stream for this long is disconnected.
   "reader_patience_s": 10,
-  // After SIGTERM, requests are served for so long while /readyz says 503: two checks of the balancer.
+  // After SIGTERM, requests are served for this long while /readyz returns 503: two health checks of
+  // the load balancer.
   "drain_grace_s": 4,
-  // An upstream that sends nothing for this many seconds is silent.
+  // An attempt at an upstream that sends nothing for this many seconds has failed.
   "upstream_idle_s": 15,
 
-  // A host that was paused and reaches no other does not know whether another one has taken its seat.
-  // false: it refuses requests until another host answers. true: it goes on after 10 s, at the risk
-  // that a customer gets this seat's part of its rate twice.
+  // A host that was suspended and cannot reach any other host does not know whether another host has
+  // taken its ordinal. false: it refuses requests until another host answers. true: it resumes serving
+  // after 10 s, at the risk that a customer gets this ordinal's share of its rate twice.
   "resume_unconfirmed": false
 }
 )";
 
-constexpr std::size_t shortestPeerKey = 16;
-constexpr double mostBytes = 1e9;
-constexpr double mostSeconds = 86400;
+constexpr std::size_t minPeerKeyLength = 16;
+constexpr double maxBytes = 1e9;
+constexpr double maxSeconds = 86400;
 
 Endpoint readEndpoint(JsonReader &reader, const char *key)
 {
@@ -77,7 +78,7 @@
     std::string key = reader.text("peer_key", none);
     if (key == none)
         return {};
-    if (key.size() < shortestPeerKey)
+    if (key.size() < minPeerKeyLength)
         reader.complain("peer_key", "must have at least 16 characters");
     return key;
 }
@@ -98,19 +99,19 @@
 
 void readLimits(JsonReader &reader, Settings &settings)
 {
-    settings.mostBodyBytes = static_cast<std::uint64_t>(
-            reader.number("most_body_bytes", 1, mostBytes, 1 << 20));
-    settings.mostHeadBytes = static_cast<std::uint64_t>(
-            reader.number("most_head_bytes", 256, mostBytes, 16384));
+    settings.maxBodyBytes = static_cast<std::uint64_t>(
+            reader.number("most_body_bytes", 1, maxBytes, 1 << 20));
+    settings.maxHeadBytes = static_cast<std::uint64_t>(
+            reader.number("most_head_bytes", 256, maxBytes, 16384));
     settings.mostConnections = static_cast<std::uint32_t>(
             reader.number("most_connections", 1, 1e6, 4096));
-    settings.senderPatience = fromSeconds(reader.number("sender_patience_s", 0.1, mostSeconds, 10));
-    settings.keepAlive = fromSeconds(reader.number("keep_alive_s", 0.1, mostSeconds, 60));
-    settings.requestPatience = fromSeconds(
-            reader.number("request_patience_s", 0.1, mostSeconds, 120));
-    settings.readerPatience = fromSeconds(reader.number("reader_patience_s", 0.1, mostSeconds, 10));
-    settings.drainGrace = fromSeconds(reader.number("drain_grace_s", 0, mostSeconds, 4));
-    settings.upstreamIdle = fromSeconds(reader.number("upstream_idle_s", 0.1, mostSeconds, 15));
+    settings.senderPatience = fromSeconds(reader.number("sender_patience_s", 0.1, maxSeconds, 10));
+    settings.keepAlive = fromSeconds(reader.number("keep_alive_s", 0.1, maxSeconds, 60));
+    settings.defaultRequestTimeout = fromSeconds(
+            reader.number("request_patience_s", 0.1, maxSeconds, 120));
+    settings.readerPatience = fromSeconds(reader.number("reader_patience_s", 0.1, maxSeconds, 10));
+    settings.drainGrace = fromSeconds(reader.number("drain_grace_s", 0, maxSeconds, 4));
+    settings.upstreamIdle = fromSeconds(reader.number("upstream_idle_s", 0.1, maxSeconds, 15));
 }
 
 } // namespace
--- a/packages/shell/src/show_record.cpp
+++ b/packages/shell/src/show_record.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Adds the ticket that set the record; by whom and why only while the history reaches back so far.
+/// Adds the ticket that set the record; author and reason only if the history still contains it.
 nlohmann::json withTicket(const StateInForce &state, nlohmann::json record, TicketNumber ticket)
 {
     record["ticket"] = ticket.value;
-    const auto isIt = [ticket](const TicketSummary &entry) {
+    const auto isTicket = [ticket](const TicketSummary &entry) {
         return entry.number == ticket;
     };
-    const auto entry = std::find_if(state.history.begin(), state.history.end(), isIt);
+    const auto entry = std::find_if(state.history.begin(), state.history.end(), isTicket);
     if (entry != state.history.end()) {
         record["by"] = entry->by;
         record["why"] = entry->why;
--- a/packages/shell/src/traffic_worker.cpp
+++ b/packages/shell/src/traffic_worker.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-/// How often deadlines are checked and the progress of streams is reported. One event for each
-/// token would cost the control thread 5,400 events a second on each of 390 hosts at 2.1 million
-/// tokens a second in all; a report in 50 ms is one for all streams of a thread.
+/// Interval of deadline checks and stream progress reports. One event per token would cost the
+/// control thread 5,400 events per second on each of 390 hosts at 2.1 million tokens per second in
+/// total; a report every 50 ms covers all streams of a thread.
 constexpr int checkMillis = 50;
-/// A check that comes this late means that the process was stopped. What came meanwhile is read
-/// before anybody is found silent: a filing's answer may wait in the kernel's buffer.
-constexpr Span lateWake = fromSeconds(0.5);
-constexpr Span wakePatience = fromSeconds(0.5);
-/// Bytes of a stream that may wait for its caller; more are left at the upstream.
-constexpr qint64 mostUnsentBytes = 256 << 10;
-/// Reading goes on when no more than this many wait.
-constexpr qint64 fewUnsentBytes = 64 << 10;
-/// How long a leaving process waits for callers that read their answers slowly.
-constexpr Span finishPatience = fromSeconds(30);
-/// Requests on connections that were accepted last are still read, and refused as not run.
-constexpr Span latecomerPatience = fromSeconds(0.2);
-
-/// The answer for repeats of the call, where it is short enough.
+/// A check that is this late means that the process was suspended. Deadlines are then not checked
+/// for suspendGracePeriod, as responses may still be unread in the kernel's buffers.
+constexpr Span lateCheckThreshold = fromSeconds(0.5);
+constexpr Span suspendGracePeriod = fromSeconds(0.5);
+/// Reading from the upstream is paused above this many unsent bytes of a stream.
+constexpr qint64 maxUnsentBytes = 256 << 10;
+/// Reading resumes at or below this many unsent bytes.
+constexpr qint64 resumeUnsentBytes = 64 << 10;
+/// How long a stopping process waits for callers that read their responses slowly.
+constexpr Span finishTimeout = fromSeconds(30);
+/// How long requests on the last accepted connections are still read, and refused as not run.
+constexpr Span lateConnectionTimeout = fromSeconds(0.2);
+
+/// Returns the response stored for repeats of the call; empty if it is too long.
 HeldAnswer heldAnswerOf(const UpstreamAttempt &attempt)
 {
     if (attempt.body.size() > static_cast<qsizetype>(longestHeldAnswer))
@@ -54,7 +54,7 @@
     if (!socket)
         return socket.error();
     this->server = new GuardedTcpServer(
-            this->settings, [this](ResultCode code) { this->report(RefusedEarly{ code }); }, this);
+            this->settings, [this](ResultCode code) { this->report(LocalRefusal{ code }); }, this);
     if (!this->server->setSocketDescriptor(socket.value().get()))
         return Error{ ResultCode::SettingsInvalid,
                       "callers: " + this->server->errorString().toStdString() };
@@ -72,8 +72,8 @@
     this->isDraining = true;
 }
 
-/// A connection that is closed while its caller sends the next request loses that request without
-/// an answer; a caller that was told to leave sends it elsewhere.
+/// Returns "Connection: close" while draining, so that the caller sends its next request elsewhere:
+/// a request sent while the connection is being closed would be lost without a response.
 QByteArray TrafficWorker::connectionHeader() const
 {
     return this->isDraining ? "Connection: close\r\n" : "";
@@ -81,16 +81,16 @@
 
 void TrafficWorker::finish(std::function<void()> finished)
 {
-    // Callers that the kernel has accepted already would be reset with the port.
+    // Closing the port would reset connections that the kernel has already accepted.
     while (this->server->waitForNewConnection(0)) {}
     this->server->close();
     this->onFinished = std::move(finished);
-    this->finishNotBefore = monotonicNow() + latecomerPatience;
-    this->finishDeadline = monotonicNow() + finishPatience;
+    this->finishNotBefore = monotonicNow() + lateConnectionTimeout;
+    this->finishDeadline = monotonicNow() + finishTimeout;
 }
 
-/// Whether every answer has left this process: a socket destroyed with bytes in its buffer would
-/// cut the end off an answer.
+/// Whether every response has been passed to the kernel or the deadline has passed: destroying a
+/// socket with unsent bytes would truncate a response.
 bool TrafficWorker::isFinished(Instant now) const
 {
     if (now >= this->finishDeadline)
@@ -102,46 +102,46 @@
 bool TrafficWorker::handleRequest(const QHttpServerRequest &request, QTcpSocket *socket)
 {
     CallerGuard *guard = GuardedTcpServer::guardOf(socket);
-    if (!guard || !guard->isAnswering()) {
+    if (!guard || !guard->isAwaitingResponse()) {
         if (guard)
             guard->refuse(Error{ ResultCode::MalformedRequest, {} });
         return true;
     }
     const RequestId id{ this->idPrefix + std::to_string(this->nextSequence++) };
-    Result<CallerRequest> read = readCallerRequest(request, id,
-                                                   monotonicNow() + this->settings.requestPatience);
+    Result<CallerRequest> read = readCallerRequest(
+            request, id, monotonicNow() + this->settings.defaultRequestTimeout);
     if (!read) {
-        // An earlier request with this number may have run.
+        // An earlier request with the same call number may have run.
         const bool isNumbered = !request.value("x-call-number").isEmpty();
-        this->refuseEarly(socket, read.error(), id,
-                          isNumbered ? RunState::Unknown : RunState::NotRun);
+        this->refuseLocally(socket, read.error(), id,
+                            isNumbered ? RunState::Unknown : RunState::NotRun);
         return true;
     }
     Exchange &exchange = this->exchanges[id];
     exchange.request = std::move(read.value());
     exchange.socket = socket;
-    // The socket deletes itself when the caller goes; QPointer and this signal keep us from
-    // touching it.
+    // The socket deletes itself on disconnect; QPointer and this signal prevent access to it
+    // afterwards.
     exchange.connections[0] = QObject::connect(socket, &QTcpSocket::disconnected, this,
-                                               [this, id] { this->callerLeft(id); });
+                                               [this, id] { this->callerDisconnected(id); });
     exchange.connections[1] = QObject::connect(socket, &QTcpSocket::bytesWritten, this,
-                                               [this, id] { this->callerHasRead(id); });
+                                               [this, id] { this->callerBytesWritten(id); });
     this->report(Event{ exchange.request.arrived });
     return true;
 }
 
 void TrafficWorker::missingHandler(const QHttpServerRequest &, QTcpSocket *socket)
 {
-    this->refuseEarly(socket, Error{ ResultCode::UnknownPath, {} }, RequestId{});
+    this->refuseLocally(socket, Error{ ResultCode::UnknownPath, {} }, RequestId{});
 }
 
-void TrafficWorker::refuseEarly(QTcpSocket *socket, const Error &error, const RequestId &id,
-                                RunState runState)
+void TrafficWorker::refuseLocally(QTcpSocket *socket, const Error &error, const RequestId &id,
+                                  RunState runState)
 {
-    this->report(RefusedEarly{ error.code });
+    this->report(LocalRefusal{ error.code });
     socket->write(refusalAnswer(Refuse{ id, error.code, runState, {}, error.detail }));
     if (CallerGuard *guard = GuardedTcpServer::guardOf(socket))
-        guard->answerDone();
+        guard->responseSent();
 }
 
 void TrafficWorker::carryOut(const TrafficOrder &order)
@@ -170,7 +170,7 @@
                { "run_state", std::string(nameOf(refusal.runState)) } });
     if (exchange.socket) {
         const bool hasBegun = exchange.isHeadSent;
-        exchange.socket->write(hasBegun ? chunkOf(refusalEvent(refusal)) + chunkOf({})
+        exchange.socket->write(hasBegun ? encodeChunk(refusalEvent(refusal)) + encodeChunk({})
                                         : refusalAnswer(refusal));
     }
     this->endExchange(refusal.request);
@@ -180,14 +180,16 @@
 {
     const auto found = this->exchanges.find(order.request);
     if (found == this->exchanges.end()) {
-        // The caller left while the order was on its way. A numbered call still waits for its end.
+        // The caller disconnected while the message was queued. A numbered call still needs its
+        // outcome.
         this->report(Event{ AttemptEnded{
                 order.request, order.attempt, AttemptOutcome::NotSent, {}, false, {} } });
         return;
     }
     Exchange &exchange = found->second;
     exchange.attemptNumber = order.attempt;
-    // Checked at the last moment: the order may have waited while this process was stopped.
+    // Checked just before sending: the message may have been queued while the process was
+    // suspended.
     if (monotonicNow() >= order.notAfter) {
         this->report(Event{ AttemptEnded{ order.request,
                                           order.attempt,
@@ -198,16 +200,16 @@
         return;
     }
     const RequestId id = order.request;
-    AttemptSinks sinks;
-    sinks.streamed = [this, id](const WholeEvents &events) {
-        this->passOn(id, events);
+    AttemptCallbacks callbacks;
+    callbacks.onEvents = [this, id](const CompleteEvents &events) {
+        this->forwardEvents(id, events);
     };
-    sinks.ended = [this, id](AttemptOutcome outcome) {
+    callbacks.onEnded = [this, id](AttemptOutcome outcome) {
         this->attemptEnded(id, outcome);
     };
     exchange.attempt = std::make_unique<UpstreamAttempt>(
             this->pool, exchange.request, order, exchange.isHeadSent, this->settings.upstreamIdle,
-            std::move(sinks));
+            std::move(callbacks));
 }
 
 void TrafficWorker::cancel(const CancelAttempt &order)
@@ -252,7 +254,7 @@
                  answerHead(200, "application/json", body.size(), order.request) + body);
 }
 
-void TrafficWorker::passOn(const RequestId &id, const WholeEvents &events)
+void TrafficWorker::forwardEvents(const RequestId &id, const CompleteEvents &events)
 {
     Exchange &exchange = this->exchanges.at(id);
     if (!exchange.socket)
@@ -260,35 +262,36 @@
     if (!exchange.isHeadSent)
         exchange.socket->write(chunkedHead("text/event-stream", id, this->connectionHeader()));
     exchange.isHeadSent = true;
-    exchange.socket->write(chunkOf(events.bytes));
+    exchange.socket->write(encodeChunk(events.bytes));
     exchange.delivered += events.tokens;
-    if (exchange.socket->bytesToWrite() > mostUnsentBytes) {
+    if (exchange.socket->bytesToWrite() > maxUnsentBytes) {
         exchange.attempt->pause();
         exchange.readerDeadline = monotonicNow() + this->settings.readerPatience;
     }
 }
 
-void TrafficWorker::callerHasRead(const RequestId &id)
+void TrafficWorker::callerBytesWritten(const RequestId &id)
 {
     const auto found = this->exchanges.find(id);
     if (found == this->exchanges.end() || !found->second.attempt || !found->second.socket)
         return;
     const bool isPaused = found->second.attempt->isPaused();
-    if (isPaused && found->second.socket->bytesToWrite() <= fewUnsentBytes)
+    if (isPaused && found->second.socket->bytesToWrite() <= resumeUnsentBytes)
         found->second.attempt->resume();
 }
 
 void TrafficWorker::reportProgress()
 {
-    std::vector<AttemptProgress> made;
+    std::vector<AttemptProgress> progressReports;
     for (auto &[id, exchange] : this->exchanges) {
         if (exchange.delivered <= exchange.reported)
             continue;
         exchange.reported = exchange.delivered;
-        made.push_back(AttemptProgress{ id, exchange.attemptNumber, exchange.delivered });
+        progressReports.push_back(
+                AttemptProgress{ id, exchange.attemptNumber, exchange.delivered });
     }
-    if (!made.empty())
-        this->report(std::move(made));
+    if (!progressReports.empty())
+        this->report(std::move(progressReports));
 }
 
 void TrafficWorker::attemptEnded(const RequestId &id, AttemptOutcome outcome)
@@ -300,13 +303,13 @@
         if (isStream)
             this->endStream(exchange);
         else
-            this->answerWhole(exchange);
+            this->sendCompleteResponse(exchange);
     }
     AttemptEnded ended{ id, number, outcome, exchange.delivered, exchange.isHeadSent, {} };
     if (outcome == AttemptOutcome::Done && !exchange.request.callNumber.isEmpty())
         ended.answer = heldAnswerOf(*exchange.attempt);
     this->report(Event{ std::move(ended) });
-    // The attempt is the caller of this function; it must not be deleted under itself.
+    // Called by the attempt, which therefore must not be deleted here.
     exchange.attempt.release()->deleteLater();
     if (outcome == AttemptOutcome::Done)
         this->endExchange(id);
@@ -319,10 +322,10 @@
     if (!exchange.isHeadSent)
         exchange.socket->write(chunkedHead("text/event-stream", exchange.request.arrived.request,
                                            this->connectionHeader()));
-    exchange.socket->write(chunkOf("data: [DONE]\n\n") + chunkOf({}));
+    exchange.socket->write(encodeChunk("data: [DONE]\n\n") + encodeChunk({}));
 }
 
-void TrafficWorker::answerWhole(Exchange &exchange)
+void TrafficWorker::sendCompleteResponse(Exchange &exchange)
 {
     UpstreamAttempt &attempt = *exchange.attempt;
     exchange.delivered = attempt.generated;
@@ -342,7 +345,7 @@
         return;
     const QPointer<QTcpSocket> socket = found->second.socket;
     for (const QMetaObject::Connection &connection : found->second.connections)
-        QObject::disconnect(connection); // by handle: QHttpServer has connections of its own here
+        QObject::disconnect(connection); // by handle: QHttpServer has its own connections
     this->exchanges.erase(found);
     if (!socket)
         return;
@@ -350,35 +353,36 @@
     if (guard && this->isDraining)
         guard->closeWhenIdle();
     if (guard)
-        guard->answerDone();
+        guard->responseSent();
 }
 
-void TrafficWorker::callerLeft(const RequestId &id)
+void TrafficWorker::callerDisconnected(const RequestId &id)
 {
     const auto found = this->exchanges.find(id);
     if (found == this->exchanges.end())
         return;
-    // A numbered call that was sent goes on without its caller, whose repeat gets the outcome.
+    // A numbered call that was sent continues without its caller; a repeat gets the outcome.
     if (!found->second.request.callNumber.isEmpty() && found->second.attempt) {
         found->second.socket = nullptr;
         return;
     }
-    // What the caller got counts against its rate also when it leaves before the next report.
+    // Delivered tokens count against the rate even if the caller disconnects before the next
+    // report.
     const Exchange &exchange = found->second;
     this->report(std::vector<AttemptProgress>{
             AttemptProgress{ id, exchange.attemptNumber, exchange.delivered } });
-    this->exchanges.erase(found); // drops the attempt; the engine sees its connection close
+    this->exchanges.erase(found); // aborts the attempt, which closes the connection to the engine
     this->report(Event{ CallerLeft{ id } });
 }
 
-/// A caller that leaves its stream unread holds a slot that others wait for. To the core it has
-/// gone: slot and tokens are given back, and the engine is told to cancel.
+/// Disconnects callers that do not read their stream, as they occupy a slot that others wait for.
+/// The host state then releases slot and tokens and cancels the request at the engine.
 void TrafficWorker::dropSlowReaders(Instant now)
 {
     std::vector<QPointer<QTcpSocket>> slow;
     for (const auto &[id, exchange] : this->exchanges) {
-        const bool isWaitedFor = exchange.attempt && exchange.attempt->isPaused();
-        if (isWaitedFor && now >= exchange.readerDeadline)
+        const bool isPaused = exchange.attempt && exchange.attempt->isPaused();
+        if (isPaused && now >= exchange.readerDeadline)
             slow.push_back(exchange.socket);
     }
     for (const QPointer<QTcpSocket> &socket : slow) {
@@ -390,8 +394,8 @@
 void TrafficWorker::checkDeadlines()
 {
     const Instant now = monotonicNow();
-    if (now >= this->nextCheck + lateWake)
-        this->checksNotBefore = now + wakePatience;
+    if (now >= this->nextCheck + lateCheckThreshold)
+        this->checksNotBefore = now + suspendGracePeriod;
     this->nextCheck = now + Span{ std::chrono::milliseconds(checkMillis) };
     if (now < this->checksNotBefore)
         return;
--- a/packages/shell/src/upstream_attempt.cpp
+++ b/packages/shell/src/upstream_attempt.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// An answer that is no stream is held whole until it is complete; a longer one is refused.
-constexpr qsizetype longestWholeAnswer = 8 << 20;
-/// What the library may hold of an answer that is not being read.
+/// Limit of a non-streaming response, which is buffered until complete.
+constexpr qsizetype maxBufferedResponseBytes = 8 << 20;
+/// Limit of the library's buffer for a response that is not being read.
 constexpr qint64 readBufferBytes = 64 << 10;
 
-/// A call that must not run twice gets no connection that was used before: its upstream may be
-/// closing that just then, and the call would be lost on the way, its outcome unknown for nothing.
-/// The library takes requests with different names to verify for different servers; over plain HTTP
-/// the name means nothing else.
+/// Uses a new connection for a call that must not run twice: the upstream may be closing a reused
+/// connection, and the call could be lost with its outcome needlessly unknown. Requests with
+/// different peer verify names do not share connections; over plain HTTP the name has no other
+/// effect.
 void useOwnConnection(QNetworkRequest &request, const RequestId &id)
 {
     request.setPeerVerifyName(QString::fromStdString(id.value));
@@ -24,7 +24,7 @@
     request.setRawHeader("Connection", "close");
 }
 
-/// Only what is on this list reaches an upstream; the caller's key is not.
+/// Builds the upstream request. Only the headers set here are forwarded, never the caller's key.
 QNetworkRequest requestFor(const CallerRequest &caller, const Dispatch &dispatch)
 {
     QNetworkRequest request(QUrl("http://" + QString::fromStdString(dispatch.address)
@@ -52,9 +52,9 @@
     return Tokens{ json[path].get<std::int64_t>() };
 }
 
-/// Whether \a error only tells the status of an answer that came whole. The numbers between these
-/// tell faults of the connection: 205 is a request that could not be sent again, 399 a broken
-/// answer.
+/// Whether \a error only reflects the status of a completely received response. The codes in
+/// between are connection errors: 205 is a request that could not be resent, 399 a protocol
+/// failure.
 bool isStatusError(QNetworkReply::NetworkError error)
 {
     const bool isClientError = error >= QNetworkReply::ContentAccessDenied
@@ -67,7 +67,7 @@
 
 UpstreamAttempt::UpstreamAttempt(UpstreamPool &connections, const CallerRequest &request,
                                  const Dispatch &dispatch, bool hasBegun, Span limit,
-                                 AttemptSinks reportTo)
+                                 AttemptCallbacks reportTo)
     : pool(connections)
     , id(dispatch.request)
     , adapter(request.arrived.adapter.value)
@@ -75,9 +75,9 @@
     , mayRunTwice(dispatch.mayRunTwice)
     , hasAnswerBegun(hasBegun)
     , resumeFrom(dispatch.resumeFrom)
-    , idleLimit(limit)
+    , idleTimeout(limit)
     , idleDeadline(monotonicNow() + limit)
-    , sinks(std::move(reportTo))
+    , callbacks(std::move(reportTo))
 {
     const QByteArray address = QByteArray::fromStdString(dispatch.address);
     this->reply = this->pool.send(request.method, address, requestFor(request, dispatch),
@@ -92,7 +92,7 @@
     if (!this->reply)
         return;
     this->reply->disconnect(this);
-    this->reply->abort(); // the engine sees its connection close
+    this->reply->abort(); // closes the connection to the engine
     this->reply->deleteLater();
 }
 
@@ -110,14 +110,14 @@
 void UpstreamAttempt::resume()
 {
     this->isReadingPaused = false;
-    this->idleDeadline = monotonicNow() + this->idleLimit;
-    this->readBytes(); // the library tells of bytes only once
+    this->idleDeadline = monotonicNow() + this->idleTimeout;
+    this->readBytes(); // readyRead is emitted only once per batch of bytes
 }
 
-/// An engine that mixes up its answers, or an answer to an older request on a reused connection:
-/// without this check a caller would read another customer's text. Engines always name the request;
-/// plain services may leave that out.
-bool UpstreamAttempt::isAnswerToThis() const
+/// Whether the response belongs to this request. An engine may mix up responses, or a reused
+/// connection may carry a response to an older request; a caller would then read another customer's
+/// text. Engines always return the request ID; plain services may omit it.
+bool UpstreamAttempt::isResponseToThisRequest() const
 {
     const QByteArray answered = this->reply->rawHeader("X-Request-Id");
     if (answered.isEmpty())
@@ -132,13 +132,13 @@
     this->isHeadChecked = true;
     this->status = this->reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
     this->contentType = this->reply->header(QNetworkRequest::ContentTypeHeader).toByteArray();
-    if (this->status != 0 && !this->isAnswerToThis()) {
-        this->pool.retire(this->reply); // what else comes on that connection cannot be trusted
+    if (this->status != 0 && !this->isResponseToThisRequest()) {
+        this->pool.retire(this->reply); // later responses on this connection cannot be trusted
         this->end(AttemptOutcome::Mismatch);
         return;
     }
-    // An engine that does not say that it goes on from there begins at the first token again, and
-    // the caller would read the beginning twice.
+    // Without this confirmation the engine restarts at the first token, and the caller would
+    // receive the beginning twice.
     const QByteArray resumedFrom = this->reply->rawHeader("X-Resumed-From");
     if (this->status == 200 && this->resumeFrom.count > 0
         && resumedFrom.toLongLong() != this->resumeFrom.count)
@@ -149,7 +149,7 @@
 {
     if (this->isEnded || this->isReadingPaused)
         return;
-    this->idleDeadline = monotonicNow() + this->idleLimit;
+    this->idleDeadline = monotonicNow() + this->idleTimeout;
     this->readHead();
     if (this->isEnded)
         return;
@@ -159,11 +159,11 @@
         return;
     }
     this->body += bytes;
-    if (this->body.size() > longestWholeAnswer)
+    if (this->body.size() > maxBufferedResponseBytes)
         this->end(AttemptOutcome::Failed);
 }
 
-bool UpstreamAttempt::isFromAdapter(const QByteArray &text) const
+bool UpstreamAttempt::isResponseOfAdapter(const QByteArray &text) const
 {
     const nlohmann::json json = nlohmann::json::parse(text.begin(), text.end(), nullptr, false);
     if (!json.is_object())
@@ -175,41 +175,41 @@
 
 void UpstreamAttempt::readStream(const QByteArray &bytes)
 {
-    const Result<WholeEvents> whole = takeEvents(this->events, bytes);
+    const Result<CompleteEvents> whole = takeEvents(this->events, bytes);
     if (!whole) {
         this->end(AttemptOutcome::Failed);
         return;
     }
     if (whole.value().bytes.isEmpty())
         return;
-    // Right id, wrong adapter: the answer is as little the caller's as one with a wrong id.
-    if (!this->isModelChecked && whole.value().tokens.count > 0) {
-        this->isModelChecked = true;
-        if (!this->isFromAdapter(firstData(whole.value().bytes))) {
+    // A response of another adapter is rejected like one with another request ID.
+    if (!this->isAdapterChecked && whole.value().tokens.count > 0) {
+        this->isAdapterChecked = true;
+        if (!this->isResponseOfAdapter(firstData(whole.value().bytes))) {
             this->end(AttemptOutcome::Mismatch);
             return;
         }
     }
-    this->sinks.streamed(whole.value());
+    this->callbacks.onEvents(whole.value());
 }
 
-AttemptOutcome UpstreamAttempt::outcomeOfWhole()
+AttemptOutcome UpstreamAttempt::outcomeOfResponse()
 {
     const bool isEngine = !this->adapter.empty();
     const bool isRefusal = this->status == 503 || this->status == 429;
-    // An engine's 404 means that it has lost the adapter, as it does by a restart; the host has
-    // checked already that the customer has that adapter.
+    // An engine's 404 means that it no longer has the adapter loaded, for example after a restart;
+    // the host has already checked that the customer owns that adapter.
     if ((isRefusal && this->mayRunTwice) || (isEngine && this->status == 404))
         return AttemptOutcome::Refused;
     if (this->hasAnswerBegun || (isEngine && this->status >= 500))
         return AttemptOutcome::Failed;
-    if (isEngine && this->status == 200 && !this->isFromAdapter(this->body))
+    if (isEngine && this->status == 200 && !this->isResponseOfAdapter(this->body))
         return AttemptOutcome::Mismatch;
     this->generated = completionTokens(this->body);
     return AttemptOutcome::Done;
 }
 
-bool UpstreamAttempt::isWholeAnswer() const
+bool UpstreamAttempt::isCompleteResponse() const
 {
     const QNetworkReply::NetworkError error = this->reply->error();
     return this->status != 0 && (error == QNetworkReply::NoError || isStatusError(error));
@@ -234,13 +234,13 @@
         this->end(isWhole ? AttemptOutcome::Done : AttemptOutcome::Failed);
         return;
     }
-    this->end(this->isWholeAnswer() ? this->outcomeOfWhole() : AttemptOutcome::Failed);
+    this->end(this->isCompleteResponse() ? this->outcomeOfResponse() : AttemptOutcome::Failed);
 }
 
 void UpstreamAttempt::end(AttemptOutcome outcome)
 {
     this->isEnded = true;
-    this->sinks.ended(outcome);
+    this->callbacks.onEnded(outcome);
 }
 
 } // namespace azurewell
--- a/packages/shell/src/upstream_pool.cpp
+++ b/packages/shell/src/upstream_pool.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-constexpr int connectionsOfOneGroup = 6; // QHttpNetworkConnection's own limit
+constexpr int connectionsPerGroup = 6; // limit of QHttpNetworkConnection
 
 } // namespace
 
 std::shared_ptr<UpstreamPool::Group> UpstreamPool::groupFor(const QByteArray &address)
 {
     Groups &known = this->groups[address];
-    const auto hasRoom = [](const std::shared_ptr<Group> &group) {
-        return group->open < connectionsOfOneGroup;
+    const auto hasCapacity = [](const std::shared_ptr<Group> &group) {
+        return group->requestsInFlight < connectionsPerGroup;
     };
-    const auto found = std::find_if(known.begin(), known.end(), hasRoom);
+    const auto found = std::find_if(known.begin(), known.end(), hasCapacity);
     if (found != known.end())
         return *found;
     const QString name = "group-" + QString::number(this->nextName++);
@@ -37,12 +37,12 @@
     std::shared_ptr<Group> group;
     if (request.peerVerifyName().isEmpty()) {
         group = this->groupFor(address);
-        ++group->open;
+        ++group->requestsInFlight;
         request.setPeerVerifyName(group->name);
     }
     request.setAttribute(QNetworkRequest::DoNotBufferUploadDataAttribute, true);
     OneShotDevice *device = nullptr;
-    // Also around an empty body: it is the device that keeps the library from sending again.
+    // Also for an empty body: the device prevents the library from resending the request.
     if (method != "GET" && method != "HEAD") {
         request.setHeader(QNetworkRequest::ContentLengthHeader, body.size());
         device = new OneShotDevice(body);
@@ -51,7 +51,7 @@
     if (device)
         device->setParent(reply);
     if (group)
-        QObject::connect(reply, &QObject::destroyed, [group] { --group->open; });
+        QObject::connect(reply, &QObject::destroyed, [group] { --group->requestsInFlight; });
     return reply;
 }
 
--- a/packages/shell/tests/shell_test.cpp
+++ b/packages/shell/tests/shell_test.cpp
@@ -44,7 +44,7 @@
     EXPECT_TRUE(list.value().upstreams[0].isLeaving);
 }
 
-TEST(ShowRecord, NamesTheTicketByWhomAndWhy)
+TEST(ShowRecord, ReportsNumberAuthorAndReasonOfTheTicket)
 {
     StateInForce state;
     const Result<Ticket> ticket = parseTicket(R"({ "ticket": 1, "by": "ana", "why": "new routes",
