--- a/programs/azurewellctl/commands.h
+++ b/programs/azurewellctl/commands.h
@@ -4,9 +4,10 @@
 
 namespace azurewell::ctl {
 
-/// Each adds its subcommands to \a app. `exitCode` is what the program returns.
+/// Each function adds its subcommands to \a app; a subcommand sets `exitCode`, the program's exit
+/// code.
 void addTicketCommands(CLI::App &app, int &exitCode);
-/// `snapshot`, `diff` and `history`, below `ticket`.
+/// Adds `snapshot`, `diff` and `history` below `ticket`.
 void addTicketStateCommands(CLI::App &ticket, int &exitCode);
 void addShowCommand(CLI::App &app, int &exitCode);
 void addLoadCommand(CLI::App &app, int &exitCode);
--- a/programs/azurewellctl/explain_command.cpp
+++ b/programs/azurewellctl/explain_command.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// Upstreams and adapters that lost most are listed down to this place.
-constexpr std::size_t mostListed = 8;
+/// Number of upstreams and adapters listed, those with most lost requests first.
+constexpr std::size_t maxListed = 8;
 
 struct ExplainSettings
 {
@@ -35,11 +35,11 @@
     return sorted;
 }
 
-void printCounts(const std::string &title, const RequestSummary::Counts &counts, std::size_t most)
+void printCounts(const std::string &title, const RequestSummary::Counts &counts, std::size_t limit)
 {
     fmt::print("{}\n", title);
     const Counts sorted = largestFirst(counts);
-    for (std::size_t place = 0; place < std::min(most, sorted.size()); ++place)
+    for (std::size_t place = 0; place < std::min(limit, sorted.size()); ++place)
         fmt::print("  {:>8}  {}\n", sorted[place].second, sorted[place].first);
 }
 
@@ -47,35 +47,35 @@
 {
     for (const auto &[path, counts] : summary.byPath)
         printCounts(path.empty() ? "(no path)" : path, counts, counts.size());
-    printCounts("lost, by upstream", summary.lostAtUpstream, mostListed);
-    printCounts("lost, by adapter", summary.lostOfAdapter, mostListed);
+    printCounts("lost, by upstream", summary.lostAtUpstream, maxListed);
+    printCounts("lost, by adapter", summary.lostOfAdapter, maxListed);
     if (summary.linesUnread > 0)
-        fmt::print(stderr, "{} lines are no lines of the log\n", summary.linesUnread);
+        fmt::print(stderr, "{} lines could not be parsed as log lines\n", summary.linesUnread);
 }
 
-bool isOfOneRequest(const ExplainSettings &settings)
+bool isSingleRequest(const ExplainSettings &settings)
 {
     return !settings.request.empty() || !settings.digest.empty();
 }
 
-bool isAskedFor(const ExplainSettings &settings, const LogLine &line)
+bool isSelected(const ExplainSettings &settings, const LogLine &line)
 {
     const bool isRequest = settings.request.empty() || fieldOf(line, "request") == settings.request;
     const bool isDigest = settings.digest.empty() || fieldOf(line, "digest") == settings.digest;
     return isRequest && isDigest;
 }
 
-/// Reads \a input to its end; prints the lines of one request where the settings name one.
+/// Reads \a input to its end; prints the lines of a single request if the settings select one.
 void readLog(std::istream &input, const ExplainSettings &settings, RequestSummary &summary)
 {
     std::string text;
     while (std::getline(input, text)) {
-        if (!isOfOneRequest(settings)) {
+        if (!isSingleRequest(settings)) {
             addLine(summary, text, settings.expected);
             continue;
         }
         const std::optional<LogLine> line = readLogLine(text);
-        if (line && isAskedFor(settings, *line))
+        if (line && isSelected(settings, *line))
             fmt::print("{}\n", text);
     }
 }
@@ -91,7 +91,7 @@
         }
         readLog(file, settings, summary);
     }
-    if (!isOfOneRequest(settings))
+    if (!isSingleRequest(settings))
         printSummary(summary);
     return 0;
 }
--- a/programs/azurewellctl/load_command.cpp
+++ b/programs/azurewellctl/load_command.cpp
@@ -28,20 +28,20 @@
     std::uint32_t requests = 100;
     std::uint32_t concurrency = 10;
     std::uint32_t maxTokens = 16;
-    std::string compareAddress; ///< An engine to send the same to, without the host; or empty.
+    std::string compareAddress; ///< Engine to send the same requests to directly; or empty.
     bool isJson = false;
 };
 
 struct LoadResults
 {
     std::vector<double> firstTokenSeconds;
-    std::vector<double> wholeSeconds;
-    std::map<std::string, std::uint32_t> outcomes; ///< `whole`, or the refusal's type.
+    std::vector<double> totalSeconds;
+    std::map<std::string, std::uint32_t> outcomes; ///< By `whole` or the type of refusal.
     std::uint64_t tokens = 0;
     double seconds = 0;
 };
 
-/// Sends streamed requests, a fixed number at once, and measures what a caller sees.
+/// Sends streaming requests at a fixed concurrency and measures what a caller sees.
 class LoadRun : public QObject
 {
 public:
@@ -62,10 +62,10 @@
     }
 
 private:
-    struct Open
+    struct OpenRequest
     {
         Instant startedAt;
-        bool hasFirst = false;
+        bool hasFirstToken = false;
         QByteArray bytes;
     };
 
@@ -86,7 +86,7 @@
         if (!this->key.isEmpty())
             request.setRawHeader("Authorization", "Bearer " + this->key);
         request.setTransferTimeout(requestTimeoutMillis);
-        const std::shared_ptr<Open> state = std::make_shared<Open>();
+        const std::shared_ptr<OpenRequest> state = std::make_shared<OpenRequest>();
         state->startedAt = monotonicNow();
         QNetworkReply *reply = this->pool.send("POST",
                                                QByteArray::fromStdString(this->options.address),
@@ -97,20 +97,20 @@
                          [this, reply, state] { this->finished(reply, *state); });
     }
 
-    void read(QNetworkReply *reply, Open &state)
+    void read(QNetworkReply *reply, OpenRequest &state)
     {
         state.bytes += reply->readAll();
-        if (state.hasFirst || !state.bytes.startsWith("data: {"))
+        if (state.hasFirstToken || !state.bytes.startsWith("data: {"))
             return;
-        state.hasFirst = true;
+        state.hasFirstToken = true;
         this->results.firstTokenSeconds.push_back(toSeconds(monotonicNow() - state.startedAt));
     }
 
-    void finished(QNetworkReply *reply, Open &state)
+    void finished(QNetworkReply *reply, OpenRequest &state)
     {
         this->read(reply, state);
         reply->deleteLater();
-        this->results.wholeSeconds.push_back(toSeconds(monotonicNow() - state.startedAt));
+        this->results.totalSeconds.push_back(toSeconds(monotonicNow() - state.startedAt));
         const std::uint64_t tokens = static_cast<std::uint64_t>(state.bytes.count("\"delta\""));
         this->results.tokens += tokens;
         const bool isWhole = state.bytes.contains("data: [DONE]")
@@ -142,29 +142,29 @@
     std::uint32_t open = 0;
 };
 
-double quantile(std::vector<double> values, double part)
+double quantile(std::vector<double> values, double fraction)
 {
     if (values.empty())
         return 0;
     std::sort(values.begin(), values.end());
-    const std::size_t index = static_cast<std::size_t>(part
+    const std::size_t index = static_cast<std::size_t>(fraction
                                                        * static_cast<double>(values.size() - 1));
     return values[index];
 }
 
 nlohmann::json reportOf(const LoadResults &results)
 {
-    return { { "requests", results.wholeSeconds.size() },
+    return { { "requests", results.totalSeconds.size() },
              { "seconds", results.seconds },
              { "requests_per_second",
-               static_cast<double>(results.wholeSeconds.size()) / results.seconds },
+               static_cast<double>(results.totalSeconds.size()) / results.seconds },
              { "tokens_per_second", static_cast<double>(results.tokens) / results.seconds },
              { "outcomes", results.outcomes },
              { "first_token_p50_s", quantile(results.firstTokenSeconds, 0.5) },
              { "first_token_p95_s", quantile(results.firstTokenSeconds, 0.95) },
              { "first_token_p99_s", quantile(results.firstTokenSeconds, 0.99) },
-             { "whole_p50_s", quantile(results.wholeSeconds, 0.5) },
-             { "whole_p99_s", quantile(results.wholeSeconds, 0.99) } };
+             { "whole_p50_s", quantile(results.totalSeconds, 0.5) },
+             { "whole_p99_s", quantile(results.totalSeconds, 0.99) } };
 }
 
 void print(const nlohmann::json &report, bool isJson)
@@ -190,42 +190,43 @@
 {
     sum.firstTokenSeconds.insert(sum.firstTokenSeconds.end(), more.firstTokenSeconds.begin(),
                                  more.firstTokenSeconds.end());
-    sum.wholeSeconds.insert(sum.wholeSeconds.end(), more.wholeSeconds.begin(),
-                            more.wholeSeconds.end());
+    sum.totalSeconds.insert(sum.totalSeconds.end(), more.totalSeconds.begin(),
+                            more.totalSeconds.end());
     for (const auto &[outcome, count] : more.outcomes)
         sum.outcomes[outcome] += count;
     sum.tokens += more.tokens;
     sum.seconds += more.seconds;
 }
 
-bool isAllWhole(const LoadResults &results)
+bool areAllComplete(const LoadResults &results)
 {
     return results.outcomes.size() == 1 && results.outcomes.contains("whole");
 }
 
-/// Both ways in turns, so that whatever else the machine does meets both alike.
+/// Alternates direct and proxied rounds, so that other load on the machine affects both equally.
 int compare(LoadOptions options)
 {
-    LoadResults through;
+    LoadResults proxied;
     LoadResults direct;
     LoadOptions without = options;
     without.address = options.compareAddress;
     without.keyVariable.clear(); // an engine gets no key
     options.requests = without.requests = std::max(1U, options.requests / compareRounds);
-    runOnce(options); // the adapter is loaded from here on
+    runOnce(options); // warm-up: loads the adapter
     for (std::uint32_t round = 0; round < compareRounds; ++round) {
         add(direct, runOnce(without));
-        add(through, runOnce(options));
+        add(proxied, runOnce(options));
     }
-    const auto added = [&](double part) {
-        return quantile(through.firstTokenSeconds, part) - quantile(direct.firstTokenSeconds, part);
+    const auto added = [&](double fraction) {
+        return quantile(proxied.firstTokenSeconds, fraction)
+                - quantile(direct.firstTokenSeconds, fraction);
     };
     print({ { "direct", reportOf(direct) },
-            { "through", reportOf(through) },
+            { "through", reportOf(proxied) },
             { "added_first_token_p50_s", added(0.5) },
             { "added_first_token_p99_s", added(0.99) } },
           options.isJson);
-    return isAllWhole(direct) && isAllWhole(through) ? 0 : 1;
+    return areAllComplete(direct) && areAllComplete(proxied) ? 0 : 1;
 }
 
 int load(const LoadOptions &options)
@@ -234,7 +235,7 @@
         return compare(options);
     const LoadResults results = runOnce(options);
     print(reportOf(results), options.isJson);
-    return isAllWhole(results) ? 0 : 1;
+    return areAllComplete(results) ? 0 : 1;
 }
 
 } // namespace
--- a/programs/azurewellctl/ticket_commands.cpp
+++ b/programs/azurewellctl/ticket_commands.cpp
@@ -32,14 +32,14 @@
     return 0;
 }
 
-/// Prints the hash of a key read from standard input: a key on a command line would stand in the
+/// Prints the hash of a key read from standard input: a key on the command line would appear in the
 /// process list and in the shell's history.
 int hashKey()
 {
     std::string key;
     std::getline(std::cin, key);
     if (key.empty()) {
-        fmt::print(stderr, "give the key on standard input\n");
+        fmt::print(stderr, "no key on standard input\n");
         return 2;
     }
     const QByteArray hash = QCryptographicHash::hash(QByteArray::fromStdString(key),
--- a/programs/azurewellctl/ticket_state_commands.cpp
+++ b/programs/azurewellctl/ticket_state_commands.cpp
@@ -33,7 +33,7 @@
     return isWritten;
 }
 
-/// The state of a snapshot that was written before; the empty state where \a directory is empty.
+/// Returns the state of an earlier snapshot; the empty state if \a directory is empty.
 std::optional<StateInForce> readBase(const std::string &directory)
 {
     if (directory.empty())
@@ -56,7 +56,7 @@
         if (addSegment(assembly, segment.value()))
             return std::move(assembly.state);
     }
-    fmt::print(stderr, "{}: the snapshot is not whole\n", directory);
+    fmt::print(stderr, "{}: the snapshot is incomplete\n", directory);
     return std::nullopt;
 }
 
@@ -73,7 +73,7 @@
     return ticket.value();
 }
 
-/// What is in force after \a paths, in this order, on top of the snapshot in \a base.
+/// Returns the state after applying the tickets \a paths, in order, to the snapshot in \a base.
 std::optional<StateInForce> stateAfter(const std::string &base,
                                        const std::vector<std::string> &paths)
 {
@@ -104,7 +104,7 @@
         if (!writeFile(directory, name, writeSegment(*state, number)))
             return 2;
     }
-    // Last: whoever reads the index finds all that it names.
+    // Written last, so that all files the index refers to exist.
     if (!writeFile(directory, "tickets/snapshot", writeSnapshotIndex(*state)))
         return 2;
     fmt::print("snapshot of ticket {}: {} segments in {}; publish the segments first, then the "
@@ -182,7 +182,7 @@
     printRemovals(*ticket);
     const Result<TicketNumber> applied = applyTicket(*state, *ticket);
     if (!applied)
-        fmt::print("hosts would refuse it: {}\n", applied.error().detail);
+        fmt::print("hosts would reject this ticket: {}\n", applied.error().detail);
     return applied ? 0 : 1;
 }
 
@@ -225,7 +225,7 @@
     });
     CLI::App *diff = ticket.add_subcommand("diff", "Show what a ticket would change");
     addBase(diff, options);
-    diff->add_option("TICKET", options->ticket, "The ticket to look at")->required();
+    diff->add_option("TICKET", options->ticket, "The ticket to compare")->required();
     diff->add_option("--after", options->files, "Tickets in force before it, in their order");
     diff->callback([options, &exitCode] {
         exitCode = diffTicket(options->base, options->files, options->ticket);
--- a/programs/azurewelld/main.cpp
+++ b/programs/azurewelld/main.cpp
@@ -28,19 +28,20 @@
 
 int main(int argc, char **argv)
 {
-    CLI::App options("One entry host of azurewell: serves callers and acts with the other hosts.");
+    CLI::App options("An entry host of azurewell: serves callers and coordinates engines with the "
+                     "other hosts.");
     std::string path;
     bool isCheck = false;
     bool isPrintDefaults = false;
     options.add_option("--settings", path, "Settings file (JSON with comments)");
-    options.add_flag("--check", isCheck, "Check the settings file and leave");
+    options.add_flag("--check", isCheck, "Check the settings file and exit");
     options.add_flag("--print-default-settings", isPrintDefaults,
-                     "Print a settings file with every key and leave");
+                     "Print a settings file with every key and exit");
     CLI::App *node = options.add_subcommand(
             "node", "Serve on the users' platform; the settings file is the platform's");
     std::string nodePath = azurewell::platform::nodeSettingsPath();
     node->add_option("--settings", nodePath, "Settings file, lines of the form a.b=value");
-    node->add_flag("--check", isCheck, "Check the settings file and leave");
+    node->add_flag("--check", isCheck, "Check the settings file and exit");
     CLI11_PARSE(options, argc, argv);
 
     if (node->parsed())
@@ -51,7 +52,7 @@
         return 0;
     }
     if (path.empty()) {
-        fmt::print(stderr, "--settings FILE is needed; see --help\n");
+        fmt::print(stderr, "missing --settings FILE; see --help\n");
         return 2;
     }
     azurewell::Result<azurewell::Settings> settings = azurewell::loadSettings(path);
--- a/standins/include/azurewell/standins/engine.h
+++ b/standins/include/azurewell/standins/engine.h
@@ -13,41 +13,41 @@
 
 namespace azurewell::standins {
 
-/// How an engine misbehaves; each field is one fault that a test can switch on.
+/// Faults of an engine that a test can enable.
 struct EngineFaults
 {
     int closeAfterTokens = -1;      ///< Closes each stream after this many tokens.
     int silentAfterTokens = -1;     ///< Stops sending after this many tokens, connection open.
-    bool crossesAnswers = false;    ///< Answers carry the id of another request.
-    bool omitsId = false;           ///< Answers carry no id.
-    bool answersOtherModel = false; ///< Answers come from another adapter.
-    bool ignoresResume = false;     ///< Begins a resumed stream at its first token.
-    std::string tokenSuffix;        ///< Stands after each token's text.
+    bool crossesAnswers = false;    ///< Responses carry the ID of another request.
+    bool omitsId = false;           ///< Responses carry no request ID.
+    bool answersOtherModel = false; ///< Responses name another adapter.
+    bool ignoresResume = false;     ///< Restarts a resumed stream at its first token.
+    std::string tokenSuffix;        ///< Appended to each token's text.
     bool refuses = false;           ///< 503 to everything.
-    int failLoads = 0;              ///< This many loads fail.
+    int failLoads = 0;              ///< Number of loads that will fail.
 };
 
 struct EngineOptions
 {
     std::uint32_t batchSlots = 8;
     std::uint32_t adapterSlots = 4;
-    int tokenMillis = 5; ///< Between the tokens of a stream.
+    int tokenMillis = 5; ///< Interval between tokens of a stream.
     bool checksFencing = true;
 };
 
-/// Stand-in for a continuously batching engine with dynamic adapters: OpenAI-style streams, load
-/// and unload orders, a load report, cancel and resume. Each token's text names adapter, version
-/// and position, so that a test sees a wrong, doubled or missing one.
+/// Stand-in for a continuously batching engine with dynamic adapters: OpenAI-style streams, loading
+/// and unloading of adapters, a load report, cancel and resume. Each token's text contains adapter,
+/// version and position, so that a test detects a wrong, duplicate or missing token.
 class Engine : public StandinServer
 {
 public:
     Engine(EngineOptions options, std::shared_ptr<WeightStore> store);
 
-    /// Loses everything, as a restarted engine does: streams end, nothing is loaded.
+    /// Simulates a restart: all streams end and no adapter is loaded.
     void restartCold();
-    /// The streams in hand send nothing more, their connections stay open; new ones work.
+    /// Stops sending on all running streams, with their connections open; new streams work.
     void silenceConnections();
-    /// Loses its adapters and says nothing.
+    /// Silently unloads all adapters.
     void forgetAdapters();
     std::size_t runningCount() const
     {
@@ -58,10 +58,9 @@
     std::uint64_t completed = 0;
     std::uint64_t cancelled = 0;
     std::uint64_t tokensMade = 0;
-    std::uint64_t unloadedWhileServing
-            = 0;                    ///< Must stay 0: evictions of an adapter that was serving.
-    std::uint64_t wrongAdapter = 0; ///< Requests for an adapter that is not loaded.
-    std::uint64_t keysSeen = 0;     ///< Must stay 0: requests that carried a caller's key.
+    std::uint64_t unloadedWhileServing = 0;   ///< Must stay 0: evictions of an adapter in use.
+    std::uint64_t missingAdapterRequests = 0; ///< Requests for an adapter that is not loaded.
+    std::uint64_t keysSeen = 0; ///< Must stay 0: requests that carried a caller's key.
     std::map<std::string, std::uint64_t> tokensByAdapter;
 
 protected:
@@ -73,13 +72,13 @@
         QByteArray id;
         std::string adapter;
         QPointer<QTcpSocket> socket;
-        int made = 0;
-        int most = 0;
+        int generatedTokens = 0;
+        int maxTokens = 0;
         bool isStream = false;
         bool isHeadSent = false;
         bool isSilent = false;
         QByteArray text;
-        QByteArray resumedFrom; ///< Confirmed to whoever asked to resume.
+        QByteArray resumedFrom; ///< Echoed in X-Resumed-From.
     };
 
     void complete(const QHttpServerRequest &request, QTcpSocket *socket);
@@ -87,7 +86,7 @@
     void unloadAdapter(const QHttpServerRequest &request, QTcpSocket *socket);
     void report(QTcpSocket *socket);
     void cancel(const QByteArray &id);
-    void callerLeft(const Sequence *sequence);
+    void callerDisconnected(const Sequence *sequence);
     void step();
     bool stepSequence(Sequence &sequence);
     bool isFenced(const QHttpServerRequest &request, QTcpSocket *socket);
--- a/standins/include/azurewell/standins/plain_service.h
+++ b/standins/include/azurewell/standins/plain_service.h
@@ -6,17 +6,18 @@
 
 namespace azurewell::standins {
 
-/// Stand-in for a plain service that files notices or books machine slots, and counts what it ran.
+/// Stand-in for a plain service, such as filing notices or booking machine slots; counts executed
+/// calls.
 class PlainService : public StandinServer
 {
 public:
-    bool closesWithoutAnswer = false; ///< Runs the call, then closes.
+    bool closesWithoutAnswer = false; ///< Runs the call, then closes the connection.
     bool closesAfterHalfAnswer = false;
-    int answerMillis = 0; ///< Between the run and the answer.
+    int answerMillis = 0; ///< Delay between running the call and responding.
     std::uint64_t runs = 0;
     std::uint64_t keysSeen = 0;
     std::map<std::string, std::uint64_t>
-            runsByBody; ///< A value above 1 is a filing that ran twice.
+            runsByBody; ///< A value above 1 is a call that ran more than once.
 
 protected:
     void onRequest(const QHttpServerRequest &request, QTcpSocket *socket) override;
--- a/standins/include/azurewell/standins/platform.h
+++ b/standins/include/azurewell/standins/platform.h
@@ -9,19 +9,19 @@
 
 namespace azurewell::standins {
 
-/// Stand-in for the read-only configuration service: keys with blocking reads as Consul's KV has
-/// them.
+/// Stand-in for the read-only configuration service: a key-value store with blocking reads like
+/// Consul's KV store.
 class Platform : public StandinServer
 {
 public:
     Platform();
 
-    /// Publishes a value, as the operators' tools do.
+    /// Publishes a value.
     void publish(const QByteArray &key, const QByteArray &value);
-    /// Publishes a ticket under tickets/<number> and moves tickets/head.
+    /// Publishes a ticket under tickets/<number> and updates tickets/head.
     void publishTicket(std::uint64_t number, const QByteArray &text);
 
-    bool isDown = false; ///< Closes each connection unanswered.
+    bool isDown = false; ///< Closes each connection without a response.
     std::uint64_t calls = 0;
 
 protected:
--- a/standins/include/azurewell/standins/standin_fleet.h
+++ b/standins/include/azurewell/standins/standin_fleet.h
@@ -12,7 +12,7 @@
 
 namespace azurewell::standins {
 
-/// Everything outside the system, in one process, from one settings file.
+/// Stand-ins for all external systems, in one process.
 struct StandinFleet
 {
     std::unique_ptr<Platform> platform;
@@ -21,8 +21,8 @@
     std::vector<std::unique_ptr<PlainService>> services;
 };
 
-/// Starts the stand-ins that \a path (JSON with comments) describes. Ticket and host-list files are
-/// named relative to it. Errors: SettingsInvalid, FileUnreadable.
+/// Starts the stand-ins described by \a path (JSON with comments). Paths of ticket and host list
+/// files are relative to it. Errors: SettingsInvalid, FileUnreadable.
 Result<StandinFleet> startStandins(const std::string &path);
 
 } // namespace azurewell::standins
--- a/standins/include/azurewell/standins/standin_server.h
+++ b/standins/include/azurewell/standins/standin_server.h
@@ -12,14 +12,14 @@
 
 namespace azurewell::standins {
 
-/// A small HTTP server for a stand-in; each answers requests in onRequest().
+/// HTTP server base class of the stand-ins; subclasses respond in onRequest().
 class StandinServer : public QAbstractHttpServer
 {
 public:
-    /// Listens on 127.0.0.1; port 0 takes a free one. Returns the port, 0 where it cannot.
+    /// Listens on 127.0.0.1; port 0 selects a free port. Returns the port, or 0 on failure.
     std::uint16_t listen(std::uint16_t port);
     std::string address() const;
-    /// Refuses connections from here on, as a program that has ended does.
+    /// Closes the port; further connections are refused.
     void close();
 
 protected:
--- a/standins/include/azurewell/standins/weight_store.h
+++ b/standins/include/azurewell/standins/weight_store.h
@@ -6,22 +6,22 @@
 
 namespace azurewell::standins {
 
-/// The weight store as the users measured it: an adapter takes a quarter second while no more than
-/// eight are in flight over all engines, proportionally longer beyond; starts are limited to a
-/// rate.
+/// Model of the weight store, after the users' measurements: loading an adapter takes 0.25 s with
+/// up to eight loads in flight over all engines, and proportionally longer beyond; the rate of
+/// starts is limited.
 class WeightStore
 {
 public:
     explicit WeightStore(double loadsPerSecond);
 
-    /// Begins a load at \a now; the time it takes from now on.
+    /// Begins a load at \a now and returns its duration from then, including the wait to start.
     Span begin(Instant now);
     void end();
     void slowDown(double factor);
 
     std::uint64_t loads = 0;
     std::uint32_t inFlight = 0;
-    std::uint32_t mostInFlight = 0;
+    std::uint32_t maxInFlight = 0;
 
 private:
     double loadsPerSecond;
--- a/standins/src/engine.cpp
+++ b/standins/src/engine.cpp
@@ -55,14 +55,14 @@
 
 void Engine::restartCold()
 {
-    // Taken out first: a socket that closes looks for its sequence.
+    // Emptied first: the handler of a closing socket searches these lists.
     const auto lost = std::exchange(this->running, {});
-    const auto unbegun = std::exchange(this->queued, {});
+    const auto notStarted = std::exchange(this->queued, {});
     for (const std::unique_ptr<Sequence> &sequence : lost) {
         if (sequence->socket)
             sequence->socket->abort();
     }
-    for (const std::unique_ptr<Sequence> &sequence : unbegun) {
+    for (const std::unique_ptr<Sequence> &sequence : notStarted) {
         if (sequence->socket)
             sequence->socket->abort();
     }
@@ -113,20 +113,20 @@
         sequence->id += "-other";
     sequence->adapter = body.value("model", "");
     sequence->socket = socket;
-    sequence->most = body.value("max_tokens", defaultTokens);
+    sequence->maxTokens = body.value("max_tokens", defaultTokens);
     sequence->isStream = body.value("stream", false);
     if (!this->faults.ignoresResume) {
         sequence->resumedFrom = request.value("x-resume-from");
-        sequence->made = sequence->resumedFrom.toInt();
+        sequence->generatedTokens = sequence->resumedFrom.toInt();
     }
     if (!this->adapters.contains(sequence->adapter)) {
-        ++this->wrongAdapter;
+        ++this->missingAdapterRequests;
         answer(socket, 404, R"({"error":"adapter not loaded"})", sequence->id);
         return;
     }
-    const Sequence *made = sequence.get();
+    const Sequence *created = sequence.get();
     QObject::connect(socket, &QTcpSocket::disconnected, this,
-                     [this, made] { this->callerLeft(made); });
+                     [this, created] { this->callerDisconnected(created); });
     this->queued.push_back(std::move(sequence));
 }
 
@@ -146,18 +146,19 @@
         return;
     }
     ++this->loading;
-    const Span takes = this->store->begin(monotonicNow());
+    const Span loadDuration = this->store->begin(monotonicNow());
     const std::uint64_t start = this->startNumber;
-    QPointer<QTcpSocket> asker = socket;
-    QTimer::singleShot(static_cast<int>(toSeconds(takes) * 1000), this, [this, name, asker, start] {
-        this->store->end();
-        --this->loading;
-        const bool hasRestarted = start != this->startNumber;
-        if (!hasRestarted)
-            this->adapters.insert(name);
-        if (asker)
-            answer(asker, hasRestarted ? 500 : 200, "{}");
-    });
+    QPointer<QTcpSocket> requester = socket;
+    QTimer::singleShot(static_cast<int>(toSeconds(loadDuration) * 1000), this,
+                       [this, name, requester, start] {
+                           this->store->end();
+                           --this->loading;
+                           const bool hasRestarted = start != this->startNumber;
+                           if (!hasRestarted)
+                               this->adapters.insert(name);
+                           if (requester)
+                               answer(requester, hasRestarted ? 500 : 200, "{}");
+                       });
 }
 
 void Engine::unloadAdapter(const QHttpServerRequest &request, QTcpSocket *socket)
@@ -202,19 +203,19 @@
 
 void Engine::cancel(const QByteArray &id)
 {
-    const auto isIt = [&id](const std::unique_ptr<Sequence> &sequence) {
+    const auto matches = [&id](const std::unique_ptr<Sequence> &sequence) {
         return sequence->id == id;
     };
-    this->cancelled += std::erase_if(this->running, isIt) + std::erase_if(this->queued, isIt);
+    this->cancelled += std::erase_if(this->running, matches) + std::erase_if(this->queued, matches);
 }
 
-/// By sequence and not by id: the same request may have been resumed on a newer connection.
-void Engine::callerLeft(const Sequence *sequence)
+/// Matches the sequence, not the ID: the request may have been resumed on a newer connection.
+void Engine::callerDisconnected(const Sequence *sequence)
 {
-    const auto isIt = [sequence](const std::unique_ptr<Sequence> &other) {
+    const auto matches = [sequence](const std::unique_ptr<Sequence> &other) {
         return other.get() == sequence;
     };
-    this->cancelled += std::erase_if(this->running, isIt) + std::erase_if(this->queued, isIt);
+    this->cancelled += std::erase_if(this->running, matches) + std::erase_if(this->queued, matches);
 }
 
 void Engine::step()
@@ -228,17 +229,19 @@
     });
 }
 
-/// Makes the next token. True where the sequence has ended.
+/// Generates the next token. Returns true if the sequence has ended.
 bool Engine::stepSequence(Sequence &sequence)
 {
     if (!sequence.socket)
         return true;
     if (sequence.isSilent)
         return false;
-    if (this->faults.silentAfterTokens >= 0 && sequence.made >= this->faults.silentAfterTokens)
+    if (this->faults.silentAfterTokens >= 0
+        && sequence.generatedTokens >= this->faults.silentAfterTokens)
         return false;
     const RequestId id{ sequence.id.toStdString() };
-    if (this->faults.closeAfterTokens >= 0 && sequence.made >= this->faults.closeAfterTokens) {
+    if (this->faults.closeAfterTokens >= 0
+        && sequence.generatedTokens >= this->faults.closeAfterTokens) {
         QObject::disconnect(sequence.socket, &QTcpSocket::disconnected, this, nullptr);
         sequence.socket->disconnectFromHost();
         return true;
@@ -246,23 +249,23 @@
     ++this->tokensMade;
     ++this->tokensByAdapter[sequence.adapter];
     const std::string model = this->faults.answersOtherModel ? "other@1" : sequence.adapter;
-    const std::string text = model + "#" + std::to_string(sequence.made++) + " "
+    const std::string text = model + "#" + std::to_string(sequence.generatedTokens++) + " "
             + this->faults.tokenSuffix;
     if (sequence.isStream) {
         if (!sequence.isHeadSent)
             sequence.socket->write(
                     streamHead(this->faults.omitsId ? RequestId{} : id, sequence.resumedFrom));
         sequence.isHeadSent = true;
-        sequence.socket->write(chunkOf(eventOf(sequence.id, model, text)));
+        sequence.socket->write(encodeChunk(eventOf(sequence.id, model, text)));
     } else {
         sequence.text += QByteArray::fromStdString(text);
     }
-    if (sequence.made < sequence.most)
+    if (sequence.generatedTokens < sequence.maxTokens)
         return false;
     ++this->completed;
     QObject::disconnect(sequence.socket, &QTcpSocket::disconnected, this, nullptr);
     if (sequence.isStream) {
-        sequence.socket->write(chunkOf("data: [DONE]\n\n") + chunkOf({}));
+        sequence.socket->write(encodeChunk("data: [DONE]\n\n") + encodeChunk({}));
     } else {
         const nlohmann::json json{
             { "id", id.value },
@@ -270,7 +273,7 @@
             { "choices",
               { { { "index", 0 },
                   { "message", { { "content", sequence.text.toStdString() } } } } } },
-            { "usage", { { "completion_tokens", sequence.made } } }
+            { "usage", { { "completion_tokens", sequence.generatedTokens } } }
         };
         answer(sequence.socket, 200, QByteArray::fromStdString(json.dump()),
                this->faults.omitsId ? QByteArray() : sequence.id);
--- a/standins/src/main.cpp
+++ b/standins/src/main.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-volatile std::sig_atomic_t isStopAsked = 0;
+volatile std::sig_atomic_t isStopRequested = 0;
 
-void askStop(int)
+void requestStop(int)
 {
-    isStopAsked = 1;
+    isStopRequested = 1;
 }
 
 } // namespace
@@ -33,11 +33,11 @@
         fmt::print(stderr, "{}\n", fleet.error().detail);
         return 1;
     }
-    std::signal(SIGTERM, askStop);
-    std::signal(SIGINT, askStop);
+    std::signal(SIGTERM, requestStop);
+    std::signal(SIGINT, requestStop);
     QTimer stopCheck;
     QObject::connect(&stopCheck, &QTimer::timeout, &application, [&application] {
-        if (isStopAsked)
+        if (isStopRequested)
             application.quit();
     });
     stopCheck.start(50);
--- a/standins/src/platform.cpp
+++ b/standins/src/platform.cpp
@@ -41,7 +41,7 @@
     }
     const QByteArray key = request.url().path().mid(keyPath.size()).toUtf8();
     if (request.method() == QHttpServerRequest::Method::Put) {
-        this->publish(key, request.body()); // operators write; the system only reads
+        this->publish(key, request.body()); // only operators write
         answer(socket, 200, "true");
         return;
     }
--- a/standins/src/standin_fleet.cpp
+++ b/standins/src/standin_fleet.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double mostPort = 65535;
+constexpr double maxPort = 65535;
 
 Result<QByteArray> readFile(const QString &path)
 {
@@ -23,7 +23,7 @@
 
 std::uint16_t portOf(JsonReader &reader)
 {
-    return static_cast<std::uint16_t>(reader.number("port", 0, mostPort));
+    return static_cast<std::uint16_t>(reader.number("port", 0, maxPort));
 }
 
 Result<std::uint16_t> publishFiles(Platform &platform, JsonReader &settings, const QDir &directory)
@@ -81,7 +81,7 @@
     if (!complaint.empty())
         return Error{ ResultCode::SettingsInvalid, path + ": " + complaint };
     if (!isListening)
-        return Error{ ResultCode::SettingsInvalid, path + ": a port is taken" };
+        return Error{ ResultCode::SettingsInvalid, path + ": cannot listen on a port" };
     const Result<std::uint16_t> published = publishFiles(*fleet.platform, platform,
                                                          QFileInfo(file).dir());
     if (!published)
--- a/standins/src/standin_server.cpp
+++ b/standins/src/standin_server.cpp
@@ -4,10 +4,10 @@
 
 namespace azurewell::standins {
 
-std::uint16_t StandinServer::listen(std::uint16_t wanted)
+std::uint16_t StandinServer::listen(std::uint16_t requestedPort)
 {
     this->server = new QTcpServer(this);
-    if (!this->server->listen(QHostAddress::LocalHost, wanted))
+    if (!this->server->listen(QHostAddress::LocalHost, requestedPort))
         return 0;
     this->bind(this->server);
     this->port = this->server->serverPort();
--- a/standins/src/weight_store.cpp
+++ b/standins/src/weight_store.cpp
@@ -20,11 +20,11 @@
 {
     ++this->loads;
     ++this->inFlight;
-    this->mostInFlight = std::max(this->mostInFlight, this->inFlight);
+    this->maxInFlight = std::max(this->maxInFlight, this->inFlight);
     const Instant start = std::max(now, this->nextStart);
     this->nextStart = start + fromSeconds(this->slowness / this->loadsPerSecond);
-    const double crowding = std::max(1.0, this->inFlight / fullSpeedInFlight);
-    return (start - now) + fromSeconds(loadSeconds * crowding * this->slowness);
+    const double congestion = std::max(1.0, this->inFlight / fullSpeedInFlight);
+    return (start - now) + fromSeconds(loadSeconds * congestion * this->slowness);
 }
 
 void WeightStore::end()
