--- a/tests/soak/faults.cpp
+++ b/tests/soak/faults.cpp
@@ -9,25 +9,25 @@
 
 namespace {
 
-constexpr qsizetype logBytes = 600;
-constexpr int faultsAtOnce = 2;
-constexpr int shortestMillis = 500;
-constexpr int longestMillis = 3000;
+constexpr qsizetype logTailBytes = 600;
+constexpr int concurrentFaults = 2;
+constexpr int minFaultMs = 500;
+constexpr int maxFaultMs = 3000;
 
-/// A fault that is switched on and off.
-struct Switch
+/// A fault that is injected by \a on and ended by \a off.
+struct ToggledFault
 {
     const char *name;
     std::function<void(World &, standins::Engine &)> on;
     std::function<void(World &, standins::Engine &)> off;
 };
 
-const std::vector<Switch> &switches()
+const std::vector<ToggledFault> &toggledFaults()
 {
     using standins::Engine;
-    const auto nothing = [](World &, Engine &) {
+    const auto noAction = [](World &, Engine &) {
     };
-    static const std::vector<Switch> all{
+    static const std::vector<ToggledFault> all{
         { "engine_closes", [](World &, Engine &engine) { engine.faults.closeAfterTokens = 5; },
           [](World &, Engine &engine) {
               engine.faults.closeAfterTokens = -1;
@@ -49,8 +49,8 @@
               engine.faults.failLoads = 0;
           } },
         { "connections_silent", [](World &, Engine &engine) { engine.silenceConnections(); },
-          nothing },
-        { "restart_cold", [](World &, Engine &engine) { engine.restartCold(); }, nothing },
+          noAction },
+        { "restart_cold", [](World &, Engine &engine) { engine.restartCold(); }, noAction },
         { "store_slow", [](World &world, Engine &) { world.store->slowDown(10); },
           [](World &world, Engine &) {
               world.store->slowDown(1);
@@ -83,8 +83,8 @@
 
 void Faults::start()
 {
-    for (int index = 0; index < faultsAtOnce; ++index)
-        this->beginOne();
+    for (int index = 0; index < concurrentFaults; ++index)
+        this->startFault();
 }
 
 void Faults::stop()
@@ -92,59 +92,59 @@
     this->isStopped = true;
 }
 
-void Faults::beginOne()
+void Faults::startFault()
 {
     if (this->isStopped)
         return;
-    ++this->open;
-    const std::size_t kind = this->random() % (switches().size() + 2);
-    const int millis = static_cast<int>(shortestMillis
-                                        + this->random() % (longestMillis - shortestMillis));
+    ++this->activeCount;
+    const std::size_t kind = this->random() % (toggledFaults().size() + 2);
+    const int millis = static_cast<int>(minFaultMs + this->random() % (maxFaultMs - minFaultMs));
     const std::size_t index = this->random() % this->world.hosts.size();
-    if (kind >= switches().size()) {
-        const bool isPause = kind == switches().size();
-        if (!this->isHostAway && isPause)
+    if (kind >= toggledFaults().size()) {
+        const bool isPause = kind == toggledFaults().size();
+        if (!this->isHostDown && isPause)
             this->pauseHost(index, millis);
-        else if (!this->isHostAway)
+        else if (!this->isHostDown)
             this->replaceHost(index);
     } else {
-        ++this->begun[switches()[kind].name];
-        switches()[kind].on(this->world, *this->world.engines[index]);
+        ++this->startedByName[toggledFaults()[kind].name];
+        toggledFaults()[kind].on(this->world, *this->world.engines[index]);
     }
     QTimer::singleShot(millis, this, [this, kind, index] {
-        if (kind < switches().size())
-            switches()[kind].off(this->world, *this->world.engines[index]);
-        --this->open;
-        this->beginOne();
+        if (kind < toggledFaults().size())
+            toggledFaults()[kind].off(this->world, *this->world.engines[index]);
+        --this->activeCount;
+        this->startFault();
     });
 }
 
 void Faults::pauseHost(std::size_t index, int millis)
 {
-    ++this->begun["host_paused"];
-    this->isHostAway = true;
+    ++this->startedByName["host_paused"];
+    this->isHostDown = true;
     this->world.hosts[index]->signal(SIGSTOP);
     QTimer::singleShot(millis, this, [this, index] {
         this->world.hosts[index]->signal(SIGCONT);
-        this->isHostAway = false;
+        this->isHostDown = false;
     });
 }
 
 void Faults::replaceHost(std::size_t index)
 {
-    ++this->begun["host_replaced"];
-    this->isHostAway = true;
-    ++this->open;
+    ++this->startedByName["host_replaced"];
+    this->isHostDown = true;
+    ++this->activeCount;
     tests::HostProcess &host = *this->world.hosts[index];
     host.signal(SIGTERM);
     QTimer::singleShot(0, this, [this, &host] {
         const int code = host.exitCode();
-        const bool isBack = code == 0 && host.start();
-        if (!isBack)
-            this->hostFailures.push_back(host.place.id + " left with " + std::to_string(code) + ": "
-                                         + host.log().right(logBytes).toStdString());
-        this->isHostAway = false;
-        --this->open;
+        const bool isRestarted = code == 0 && host.start();
+        if (!isRestarted)
+            this->hostFailures.push_back(host.config.id + " exited with code "
+                                         + std::to_string(code) + ": "
+                                         + host.log().right(logTailBytes).toStdString());
+        this->isHostDown = false;
+        --this->activeCount;
     });
 }
 
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -11,34 +11,34 @@
 
 namespace azurewell::soak {
 
-/// Brings about random faults, two at a time, and takes them back.
+/// Injects random faults, two at a time, and ends them after a random time.
 class Faults : public QObject
 {
 public:
     Faults(World &world, std::uint64_t seed);
 
     void start();
-    /// Begins no more faults.
+    /// Starts no further faults.
     void stop();
-    bool isQuiet() const
+    bool isIdle() const
     {
-        return this->open == 0;
+        return this->activeCount == 0;
     }
 
-    std::map<std::string, std::uint64_t> begun; ///< By name.
-    /// Hosts that left with another code than 0 or did not come back, with the end of their log.
+    std::map<std::string, std::uint64_t> startedByName; ///< Number of faults.
+    /// Hosts that exited with a code other than 0 or did not restart, with the end of their log.
     std::vector<std::string> hostFailures;
 
 private:
-    void beginOne();
+    void startFault();
     void replaceHost(std::size_t index);
     void pauseHost(std::size_t index, int millis);
 
     World &world;
     std::mt19937_64 random;
-    int open = 0;
+    int activeCount = 0;
     bool isStopped = false;
-    bool isHostAway = false;
+    bool isHostDown = false;
 };
 
 } // namespace azurewell::soak
--- a/tests/soak/soak_caller.cpp
+++ b/tests/soak/soak_caller.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr int pauseMillis = 5;
-constexpr int pauseAfterRefusalMillis = 100;
-constexpr int mostTokens = 80;
+constexpr int pauseMs = 5;
+constexpr int pauseAfterRefusalMs = 100;
+constexpr int maxTokens = 80;
 
 } // namespace
 
@@ -23,10 +23,10 @@
 {
 }
 
-void SoakCaller::next()
+void SoakCaller::sendNext()
 {
-    this->isQuiet = this->isLast;
-    if (this->isLast)
+    this->isIdle = this->isStopping;
+    if (this->isStopping)
         return;
     this->received.clear();
     const std::size_t host = this->random() % this->world.hosts.size();
@@ -34,7 +34,7 @@
     QTcpSocket *mine = this->socket;
     QObject::connect(mine, &QTcpSocket::connected, this, [this] { this->send(); });
     QObject::connect(mine, &QTcpSocket::readyRead, this, [this] { this->read(); });
-    QObject::connect(mine, &QTcpSocket::disconnected, this, [this] { this->ended(false); });
+    QObject::connect(mine, &QTcpSocket::disconnected, this, [this] { this->finishRequest(false); });
     QObject::connect(mine, &QTcpSocket::errorOccurred, this, [this, mine] {
         if (mine->state() == QAbstractSocket::ConnectedState || this->socket != mine)
             return; // `disconnected` follows
@@ -43,10 +43,10 @@
         ++this->results.unreached;
         this->socket = nullptr;
         mine->deleteLater();
-        QTimer::singleShot(pauseAfterRefusalMillis, this, [this] { this->next(); });
+        QTimer::singleShot(pauseAfterRefusalMs, this, [this] { this->sendNext(); });
     });
     this->sentAt = Instant{};
-    mine->connectToHost("127.0.0.1", this->world.hosts[host]->place.callers);
+    mine->connectToHost("127.0.0.1", this->world.hosts[host]->config.callerPort);
 }
 
 void SoakCaller::send()
@@ -54,8 +54,9 @@
     const std::vector<Tenant> &all = tenants();
     const Tenant &tenant = all[this->random() % all.size()];
     const bool isFiling = this->random() % 6 == 0;
-    this->tokens = static_cast<int>(1 + this->random() % mostTokens);
-    this->leavesAfter = this->random() % 20 == 0 ? static_cast<int>(this->random() % 4000) : -1;
+    this->tokens = static_cast<int>(1 + this->random() % maxTokens);
+    this->disconnectsAfterBytes = this->random() % 20 == 0 ? static_cast<int>(this->random() % 4000)
+                                                           : -1;
     this->adapter = isFiling ? QByteArray()
                              : tenant.adapters[this->random() % tenant.adapters.size()];
     this->sentAt = monotonicNow();
@@ -73,18 +74,18 @@
 void SoakCaller::read()
 {
     this->received += this->socket->readAll();
-    if (this->leavesAfter >= 0 && this->received.size() > this->leavesAfter) {
-        ++this->results.left;
+    if (this->disconnectsAfterBytes >= 0 && this->received.size() > this->disconnectsAfterBytes) {
+        ++this->results.disconnected;
         this->received.clear();
-        this->ended(true);
+        this->finishRequest(true);
         return;
     }
     const std::optional<tests::Answer> answer = tests::parseAnswer(this->received);
-    if (answer && answer->isWhole)
-        this->ended(true);
+    if (answer && answer->isComplete)
+        this->finishRequest(true);
 }
 
-void SoakCaller::ended(bool isWhole)
+void SoakCaller::finishRequest(bool isComplete)
 {
     if (!this->socket)
         return;
@@ -93,13 +94,13 @@
     mine->abort();
     mine->deleteLater();
     const std::optional<tests::Answer> answer = tests::parseAnswer(this->received);
-    if (answer && isWhole)
+    if (answer && isComplete)
         this->check(*answer);
-    else if (!isWhole)
+    else if (!isComplete)
         ++this->results.lost;
     const bool isRefused = answer && answer->status != 200;
-    QTimer::singleShot(isRefused ? pauseAfterRefusalMillis : pauseMillis, this,
-                       [this] { this->next(); });
+    QTimer::singleShot(isRefused ? pauseAfterRefusalMs : pauseMs, this,
+                       [this] { this->sendNext(); });
 }
 
 void SoakCaller::check(const tests::Answer &answer)
@@ -122,13 +123,13 @@
 void SoakCaller::checkStream(const tests::Answer &answer)
 {
     const std::vector<int> positions = tests::tokenPositions(answer.body, this->adapter);
-    std::vector<int> wanted(positions.size());
-    std::iota(wanted.begin(), wanted.end(), 0);
+    std::vector<int> expected(positions.size());
+    std::iota(expected.begin(), expected.end(), 0);
     if (answer.body.count('#') != static_cast<qsizetype>(positions.size()))
         ++this->results.crossed;
     const bool isDone = answer.body.contains("[DONE]");
     const bool isComplete = positions.size() == static_cast<std::size_t>(this->tokens);
-    if (positions != wanted || (isDone && !isComplete))
+    if (positions != expected || (isDone && !isComplete))
         ++this->results.doubled;
     if (isDone)
         ++this->results.whole;
--- a/tests/soak/soak_caller.h
+++ b/tests/soak/soak_caller.h
@@ -12,37 +12,37 @@
 
 namespace azurewell::soak {
 
-/// What all callers together have seen.
+/// Results of all callers.
 struct Results
 {
     std::uint64_t requests = 0;
-    std::uint64_t whole = 0;
-    std::uint64_t endedEarly = 0; ///< Streams that ended with a numbered error after some tokens.
-    std::uint64_t left = 0;       ///< The caller went away by itself.
-    std::uint64_t unreached = 0;  ///< No host took the connection: sent to another one.
+    std::uint64_t whole = 0;        ///< Complete answers.
+    std::uint64_t endedEarly = 0;   ///< Streams that ended with a numbered error after some tokens.
+    std::uint64_t disconnected = 0; ///< The caller closed the connection before the end.
+    std::uint64_t unreached = 0; ///< The connection was not accepted; another random host is tried.
     std::map<std::string, std::uint64_t> refusals; ///< By code and run state.
-    std::uint64_t lost = 0;                        ///< Answers cut off without a word. Must stay 0.
-    std::uint64_t doubled = 0; ///< Answers with a doubled or missing token. Must stay 0.
+    std::uint64_t lost = 0;    ///< Answers cut off without an error. Must stay 0.
+    std::uint64_t doubled = 0; ///< Answers with a duplicate or missing token. Must stay 0.
     std::uint64_t crossed = 0; ///< Answers with another adapter's text. Must stay 0.
-    std::map<std::string, QByteArray> filings; ///< Body to what its caller was told.
-    std::vector<double> seconds;               ///< Of whole answers.
+    std::map<std::string, QByteArray> filings; ///< By body: "ran", a run state, or "unanswered".
+    std::vector<double> seconds;               ///< Duration of answers with status 200.
 };
 
-/// A caller that sends one request after the other, to a random host, and checks each answer.
+/// A caller that sends one request after the other, each to a random host, and checks the answers.
 class SoakCaller : public QObject
 {
 public:
     SoakCaller(World &world, Results &results, std::uint64_t seed);
 
-    /// Sends the next request where \a isLast is not set; otherwise goes quiet after this one.
-    void next();
-    bool isLast = false;
-    bool isQuiet = true;
+    /// Sends the next request, or becomes idle if \a isStopping is set.
+    void sendNext();
+    bool isStopping = false;
+    bool isIdle = true;
 
 private:
     void send();
     void read();
-    void ended(bool isWhole);
+    void finishRequest(bool isComplete);
     void check(const tests::Answer &answer);
     void checkStream(const tests::Answer &answer);
 
@@ -54,7 +54,7 @@
     QByteArray adapter; ///< Empty for a filing.
     QByteArray body;
     int tokens = 0;
-    int leavesAfter = -1; ///< Bytes.
+    int disconnectsAfterBytes = -1; ///< Of the answer; -1: reads it to its end.
     Instant sentAt;
 };
 
--- a/tests/soak/world.cpp
+++ b/tests/soak/world.cpp
@@ -78,14 +78,16 @@
         const std::string id = std::string("host-") + zone;
         set["zones"].push_back({ { "id", zone }, { "seats", 1 } });
         this->hosts.push_back(std::make_unique<tests::HostProcess>(
-                tests::makePlace(id, zone, "http://" + this->platform.address())));
-        const std::string address = "127.0.0.1:" + std::to_string(this->hosts.back()->place.peers);
+                tests::makeHostConfig(id, zone, "http://" + this->platform.address())));
+        const std::string address = "127.0.0.1:"
+                + std::to_string(this->hosts.back()->config.peerPort);
         list["hosts"].push_back({ { "id", id }, { "zone", zone }, { "address", address } });
     }
     this->platform.publish("azurewell/hosts", QByteArray::fromStdString(list.dump()));
-    const nlohmann::json ticket{
-        { "ticket", 1 }, { "by", "soak" }, { "why", "all that it uses" }, { "set", set }
-    };
+    const nlohmann::json ticket{ { "ticket", 1 },
+                                 { "by", "soak" },
+                                 { "why", "configuration of the soak test" },
+                                 { "set", set } };
     this->platform.publishTicket(1, QByteArray::fromStdString(ticket.dump()));
 }
 
@@ -98,16 +100,16 @@
     return true;
 }
 
-std::uint64_t World::tokensMadeFor(const Tenant &tenant) const
+std::uint64_t World::tokensGeneratedFor(const Tenant &tenant) const
 {
-    std::uint64_t made = 0;
+    std::uint64_t generated = 0;
     for (const std::unique_ptr<standins::Engine> &engine : this->engines) {
         for (const QByteArray &adapter : tenant.adapters) {
             const auto found = engine->tokensByAdapter.find(adapter.toStdString());
-            made += found == engine->tokensByAdapter.end() ? 0 : found->second;
+            generated += found == engine->tokensByAdapter.end() ? 0 : found->second;
         }
     }
-    return made;
+    return generated;
 }
 
 } // namespace azurewell::soak
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -24,15 +24,16 @@
 
 const std::vector<Tenant> &tenants();
 
-/// Three hosts in three zones as processes, and all that is outside them in this one.
+/// Three hosts in three zones as separate processes; engines, services and platform run in this
+/// process.
 struct World
 {
     World();
 
-    /// Starts the hosts. False where one does not come up.
+    /// Starts the hosts. False if one does not become ready.
     bool start();
-    /// Tokens that the engines made for \a tenant, by their own count.
-    std::uint64_t tokensMadeFor(const Tenant &tenant) const;
+    /// Tokens that the engines generated for \a tenant, as counted by the engines.
+    std::uint64_t tokensGeneratedFor(const Tenant &tenant) const;
 
     standins::Platform platform;
     std::shared_ptr<standins::WeightStore> store;
--- a/tests/sockets/bad_input_test.cpp
+++ b/tests/sockets/bad_input_test.cpp
@@ -8,14 +8,14 @@
 
 struct BadInput
 {
-    const char *what;
+    const char *description;
     QByteArray bytes;
     int status;
     int code;
 };
 
-QByteArray postOf(const QByteArray &body, const QByteArray &headers,
-                  const QByteArray &path = "/v1/completions")
+QByteArray postRequest(const QByteArray &body, const QByteArray &headers,
+                       const QByteArray &path = "/v1/completions")
 {
     return "POST " + path + " HTTP/1.1\r\nHost: a\r\n" + headers
             + "Content-Length: " + QByteArray::number(body.size()) + "\r\n\r\n" + body;
@@ -39,23 +39,26 @@
           "POST /v1/completions HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 30\r\n\r\n{}", 400,
           100 },
         { "no length", "POST /v1/completions HTTP/1.1\r\n\r\n", 411, 108 },
-        { "broken JSON", postOf("{\"model\":", key), 400, 101 },
-        { "no object", postOf("[1]", key), 400, 101 },
-        { "deep JSON", postOf(QByteArray(100'000, '['), key), 400, 101 },
-        { "wrong max_tokens", postOf(R"({"model":"routes@3","max_tokens":-4})", key), 400, 101 },
+        { "broken JSON", postRequest("{\"model\":", key), 400, 101 },
+        { "no object", postRequest("[1]", key), 400, 101 },
+        { "deep JSON", postRequest(QByteArray(100'000, '['), key), 400, 101 },
+        { "wrong max_tokens", postRequest(R"({"model":"routes@3","max_tokens":-4})", key), 400,
+          101 },
         { "huge max_tokens",
-          postOf(R"({"model":"routes@3","max_tokens":99999999999999999999999})", key), 400, 101 },
-        { "no model", postOf("{}", key), 400, 107 },
-        { "no key", postOf(good, {}), 401, 200 },
-        { "unknown key", postOf(good, "Authorization: Bearer other\r\n"), 401, 201 },
-        { "key in the query", postOf(good, key, "/v1/completions?api_key=" + callerKey), 400, 203 },
-        { "key in a second header", postOf(good, key + "X-Api-Key: " + callerKey + "\r\n"), 400,
+          postRequest(R"({"model":"routes@3","max_tokens":99999999999999999999999})", key), 400,
+          101 },
+        { "no model", postRequest("{}", key), 400, 107 },
+        { "no key", postRequest(good, {}), 401, 200 },
+        { "unknown key", postRequest(good, "Authorization: Bearer other\r\n"), 401, 201 },
+        { "key in the query", postRequest(good, key, "/v1/completions?api_key=" + callerKey), 400,
           203 },
-        { "two keys", postOf(good, key + "authorization: Bearer other\r\n"), 400, 203 },
-        { "unknown adapter", postOf(completion("routes@4", 2), key), 404, 204 },
-        { "another customer's adapter", postOf(completion("quotes@7", 2), key), 404, 204 },
-        { "unknown service", postOf("{}", key, "/services/other/x"), 404, 205 },
-        { "unknown path", postOf("{}", key, "/v2/completions"), 404, 106 },
+        { "key in a second header", postRequest(good, key + "X-Api-Key: " + callerKey + "\r\n"),
+          400, 203 },
+        { "two keys", postRequest(good, key + "authorization: Bearer other\r\n"), 400, 203 },
+        { "unknown adapter", postRequest(completion("routes@4", 2), key), 404, 204 },
+        { "another customer's adapter", postRequest(completion("quotes@7", 2), key), 404, 204 },
+        { "unknown service", postRequest("{}", key, "/services/other/x"), 404, 205 },
+        { "unknown path", postRequest("{}", key, "/v2/completions"), 404, 106 },
     };
 }
 
@@ -63,9 +66,9 @@
 
 using BadInputs = HostFixture;
 
-// Callers send what is wrong in every way that we know of. Each gets an answer with the numbered
-// code of its mistake and the word that nothing ran; a crash or a closed connection would leave it
-// guessing whether to send again.
+// Guards against a crash or a closed connection on malformed input, which would leave the caller
+// without knowing whether it may retry. Each answer has the numbered code of the error and
+// "not_run".
 TEST_F(BadInputs, EachGetsItsNumberedCode)
 {
     standins::Engine &engine = this->addEngine();
@@ -74,18 +77,19 @@
         Caller caller(this->port);
         caller.write(bad.bytes);
         const Answer answer = caller.answer();
-        EXPECT_EQ(answer.status, bad.status) << bad.what;
-        EXPECT_EQ(answer.code(), bad.code) << bad.what;
-        EXPECT_EQ(answer.codeInBody(), bad.code) << bad.what;
-        EXPECT_EQ(answer.runState(), "not_run") << bad.what;
+        EXPECT_EQ(answer.status, bad.status) << bad.description;
+        EXPECT_EQ(answer.code(), bad.code) << bad.description;
+        EXPECT_EQ(answer.codeInBody(), bad.code) << bad.description;
+        EXPECT_EQ(answer.runState(), "not_run") << bad.description;
     }
     EXPECT_EQ(engine.completed, 0U);
     EXPECT_EQ(this->service.runs, 0U);
-    EXPECT_TRUE(this->isUnharmed());
+    EXPECT_TRUE(this->isServing());
 }
 
-// A caller's key reaches an upstream or a log, and whoever reads that can spend the caller's rate.
-TEST_F(BadInputs, TheKeyReachesNoUpstreamAndNoLog)
+// Guards against a caller's key that leaks to an upstream or a log, whose readers could use up
+// the caller's rate.
+TEST_F(BadInputs, TheKeyIsNotSentToUpstreamsOrLogged)
 {
     this->settings.logLevel = LogLevel::Debug;
     standins::Engine &engine = this->addEngine();
@@ -99,7 +103,7 @@
     Caller filing(this->port);
     filing.post("/services/filings/notices", R"({"notice":1})", "Cookie: k=" + callerKey + "\r\n");
     EXPECT_EQ(filing.answer().status, 200);
-    EXPECT_TRUE(this->isUnharmed());
+    EXPECT_TRUE(this->isServing());
     const std::string log = testing::internal::GetCapturedStdout();
     EXPECT_NE(log.find("request_refused"), std::string::npos);
     EXPECT_EQ(log.find(callerKey.toStdString()), std::string::npos);
@@ -107,9 +111,9 @@
     EXPECT_EQ(this->service.keysSeen, 0U);
 }
 
-// Something that is no host of ours connects to the peer port: a scanner, an old program, a broken
-// host. Its bytes must neither end the process nor fill its memory.
-TEST_F(BadInputs, ThePeerPortBearsGarbage)
+// Guards against a crash or unbounded memory use when a client that is not a host of the fleet,
+// such as a port scanner, connects to the peer port.
+TEST_F(BadInputs, ThePeerPortRejectsGarbage)
 {
     this->addEngine();
     this->startHost();
@@ -119,11 +123,11 @@
     qToBigEndian<quint32>(1000, garbage.data());
     garbage += QByteArray(1000, '\xee');
     for (const QByteArray &bytes : { oversized, garbage, QByteArray("GET / HTTP/1.1\r\n\r\n") }) {
-        Caller intruder(this->settings.peers.port);
-        intruder.write(bytes);
-        EXPECT_TRUE(waitUntil([&intruder] { return !intruder.isOpen(); }));
+        Caller client(this->settings.peers.port);
+        client.write(bytes);
+        EXPECT_TRUE(waitUntil([&client] { return !client.isOpen(); }));
     }
-    EXPECT_TRUE(this->isUnharmed());
+    EXPECT_TRUE(this->isServing());
 }
 
 } // namespace azurewell::tests
--- a/tests/sockets/caller.cpp
+++ b/tests/sockets/caller.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr int mostWaitMillis = 20'000; // far above what any test takes; not a measure of speed
+constexpr int waitTimeoutMs = 20'000; // far longer than any test takes
 
-/// The data of the chunks in \a bytes; `isWhole` where the last chunk is there.
-QByteArray unchunk(const QByteArray &bytes, bool &isWhole)
+/// The data of the chunks in \a bytes; sets \a isComplete once the last chunk has been received.
+QByteArray unchunk(const QByteArray &bytes, bool &isComplete)
 {
     QByteArray data;
     qsizetype at = 0;
@@ -31,7 +31,7 @@
         if (bytes.size() < lineEnd + 2 + length + 2)
             return data;
         if (length == 0) {
-            isWhole = true;
+            isComplete = true;
             return data;
         }
         data += bytes.mid(lineEnd + 2, length);
@@ -41,10 +41,10 @@
 
 } // namespace
 
-bool waitUntil(const std::function<bool()> &holds)
+bool waitUntil(const std::function<bool()> &condition)
 {
-    const QDeadlineTimer deadline(mostWaitMillis);
-    while (!holds()) {
+    const QDeadlineTimer deadline(waitTimeoutMs);
+    while (!condition()) {
         if (deadline.hasExpired())
             return false;
         QCoreApplication::processEvents(QEventLoop::WaitForMoreEvents | QEventLoop::AllEvents, 10);
@@ -86,12 +86,12 @@
     }
     const QByteArray rest = bytes.mid(headEnd + 4);
     if (answer.headers.contains("transfer-encoding")) {
-        answer.body = unchunk(rest, answer.isWhole);
+        answer.body = unchunk(rest, answer.isComplete);
         return answer;
     }
     const qsizetype length = answer.headers["content-length"].toLongLong();
     answer.body = rest.left(length);
-    answer.isWhole = rest.size() >= length;
+    answer.isComplete = rest.size() >= length;
     return answer;
 }
 
@@ -140,7 +140,7 @@
 {
     waitUntil([this] {
         const std::optional<Answer> answer = parseAnswer(this->received);
-        return (answer && answer->isWhole) || !this->isOpen();
+        return (answer && answer->isComplete) || !this->isOpen();
     });
     return parseAnswer(this->received).value_or(Answer{});
 }
@@ -161,21 +161,21 @@
             + ",\"max_tokens\":" + QByteArray::number(tokens) + ",\"prompt\":\"Permit?\"}";
 }
 
-double sampleOf(const QByteArray &metrics, const QByteArray &sample)
+double metricValue(const QByteArray &metrics, const QByteArray &sample)
 {
     const QByteArray body = '\n' + metrics;
     const qsizetype at = body.indexOf('\n' + sample + ' ');
     return at < 0 ? -1 : body.mid(at + sample.size() + 2).split('\n').first().toDouble();
 }
 
-/// Below the ports that the kernel gives to connections, and apart for each process: tests run at
-/// the same time, and a port that was free a moment ago must still be free for the host.
+/// The range lies below the kernel's ephemeral ports, and each process starts at another port:
+/// tests run concurrently, and the port must still be free when the host binds it.
 std::uint16_t freePort()
 {
     constexpr int first = 20'000;
     constexpr int count = 12'000;
-    constexpr int ofOneProcess = 16;
-    static int next = static_cast<int>(::getpid()) * ofOneProcess;
+    constexpr int portsPerProcess = 16;
+    static int next = static_cast<int>(::getpid()) * portsPerProcess;
     while (true) {
         const int port = first + next++ % count;
         QTcpServer server;
--- a/tests/sockets/caller.h
+++ b/tests/sockets/caller.h
@@ -10,31 +10,31 @@
 
 namespace azurewell::tests {
 
-/// Runs the event loop until \a holds says so. False where that takes longer than any test should.
-bool waitUntil(const std::function<bool()> &holds);
+/// Runs the event loop until \a condition returns true. False after a timeout of 20 s.
+bool waitUntil(const std::function<bool()> &condition);
 
-/// An answer as it stands on the wire.
+/// An HTTP response as received.
 struct Answer
 {
     int status = 0;
-    std::map<QByteArray, QByteArray> headers; ///< Names in lower case.
-    QByteArray body;                          ///< Without the framing of chunks.
-    bool isWhole = false;
+    std::map<QByteArray, QByteArray> headers; ///< By name in lower case.
+    QByteArray body;                          ///< Without the chunked framing.
+    bool isComplete = false;                  ///< The body has been received to its end.
 
-    /// The numbered code of a refusal, from the header; 0 where there is none.
+    /// The numbered code of a refusal from the header; 0 if there is none.
     int code() const;
-    /// The numbered code of a refusal, from the body; 0 where there is none.
+    /// The numbered code of a refusal from the body; 0 if there is none.
     int codeInBody() const;
     QByteArray runState() const;
 };
 
-/// The first answer in \a bytes, which may be in part; nothing before its head is whole.
+/// The first answer in \a bytes, possibly incomplete; nullopt until its head is complete.
 std::optional<Answer> parseAnswer(const QByteArray &bytes);
 
-/// The positions that a stand-in's tokens name, in the order of the body: "routes@3#0 routes@3#1".
+/// The positions in the tokens of a stand-in engine ("routes@3#0 routes@3#1"), in body order.
 std::vector<int> tokenPositions(const QByteArray &body, const QByteArray &adapter);
 
-/// A caller with a bare socket: it writes what it is told and keeps all that comes back.
+/// A caller on a raw socket. It keeps all received bytes.
 class Caller
 {
 public:
@@ -42,11 +42,11 @@
     ~Caller();
 
     void write(const QByteArray &bytes);
-    /// Sends a request with the key of the tests; \a moreHeaders end in CR LF each.
+    /// Sends a request with callerKey; each of \a moreHeaders ends in CR LF.
     void post(const QByteArray &path, const QByteArray &body, const QByteArray &moreHeaders = {});
-    /// Waits for the end of the first answer, or of the connection.
+    /// The first answer, once it is complete or the connection is closed.
     Answer answer();
-    /// Waits until the caller has \a text.
+    /// Waits until \a text has been received. False after the timeout of waitUntil().
     bool waitFor(const QByteArray &text);
     bool isOpen() const;
 
@@ -56,13 +56,13 @@
 
 inline const QByteArray callerKey = "key-of-the-tests-9f2c";
 
-/// A completion's body.
+/// The JSON body of a completion request.
 QByteArray completion(const QByteArray &adapter, int tokens, bool isStream = true);
 
-/// The value of \a sample in the text of /metrics; -1 where there is none.
-double sampleOf(const QByteArray &metrics, const QByteArray &sample);
+/// The value of \a sample in the text of /metrics; -1 if there is none.
+double metricValue(const QByteArray &metrics, const QByteArray &sample);
 
-/// A port that nothing listens on.
+/// A loopback port that nothing listens on.
 std::uint16_t freePort();
 
 } // namespace azurewell::tests
--- a/tests/sockets/filings_test.cpp
+++ b/tests/sockets/filings_test.cpp
@@ -4,33 +4,34 @@
 
 using Filings = HostFixture;
 
-/// A filing whose answer does not come whole.
-struct CutFiling
+/// A filing whose answer is interrupted.
+struct InterruptedFiling
 {
     bool isHalfAnswered;
     const char *body;
 };
 
-std::string nameOf(const ::testing::TestParamInfo<CutFiling> &info)
+std::string testName(const ::testing::TestParamInfo<InterruptedFiling> &info)
 {
     const std::string answer = info.param.isHalfAnswered ? "HalfAnswer" : "NoAnswer";
     return answer + (*info.param.body == 0 ? "NoBody" : "WithBody");
 }
 
-/// Keeps the bytes of the parameter out of the test's name.
-void PrintTo(const CutFiling &filing, std::ostream *out) // NOLINT(readability-identifier-naming)
+/// Keeps the raw bytes of the parameter out of the test name.
+void PrintTo(const InterruptedFiling &filing,
+             std::ostream *out) // NOLINT(readability-identifier-naming)
 {
     *out << (filing.isHalfAnswered ? "half" : "no") << " answer to \"" << filing.body << '"';
 }
 
-class CutFilings : public HostFixture, public ::testing::WithParamInterface<CutFiling>
+class InterruptedFilings : public HostFixture,
+                           public ::testing::WithParamInterface<InterruptedFiling>
 {
 };
 
-// The filing service runs a notice and dies before it answers, or in mid-answer. Sending it again
-// would file it twice; saying "not run" would make the caller do that. The caller is told that the
-// outcome is not known.
-TEST_P(CutFilings, HaveAnUnknownOutcomeAndRunOnce)
+// The filing service runs a notice and closes the connection before or during its answer. A retry
+// would file the notice twice, and "not run" would make the caller retry: the outcome is unknown.
+TEST_P(InterruptedFilings, HaveAnUnknownOutcomeAndRunOnce)
 {
     this->addEngine();
     this->startHost();
@@ -45,18 +46,19 @@
     EXPECT_EQ(this->service.runs, 1U);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, CutFilings,
-                         ::testing::Values(CutFiling{ false, "{}" }, CutFiling{ true, "{}" },
-                                           CutFiling{ false, "" }, CutFiling{ true, "" }),
-                         nameOf);
+INSTANTIATE_TEST_SUITE_P(All, InterruptedFilings,
+                         ::testing::Values(InterruptedFiling{ false, "{}" },
+                                           InterruptedFiling{ true, "{}" },
+                                           InterruptedFiling{ false, "" },
+                                           InterruptedFiling{ true, "" }),
+                         testName);
 
-// A call that may be repeated is, and then nobody is left to take it. The first try can have run; a
-// refusal that says "not run" because of the second would be untrue.
-TEST_F(Filings, NotRunIsNotSaidAfterATryThatCanHaveRun)
+// Guards against "not run" after a retry that could not be sent: the first attempt may have run.
+TEST_F(Filings, NotRunIsNotReportedAfterAnAttemptThatMayHaveRun)
 {
     this->addEngine();
     this->startHost();
-    for (int index = 0; index < 30; ++index) { // earns the budget for a retry
+    for (int index = 0; index < 30; ++index) { // accumulates the budget for a retry
         Caller caller(this->port);
         caller.post("/services/permits/list", "{}");
         ASSERT_EQ(caller.answer().status, 200);
@@ -69,8 +71,8 @@
     EXPECT_GE(this->metric("azurewell_retries_total{reason=\"upstream_failed\"}"), 1);
 }
 
-// No filing service listens. Nothing was sent, so the caller may send again, and is told so.
-TEST_F(Filings, AFilingThatNobodyTookWasNotRun)
+// No filing service listens. Nothing was sent, so the caller may retry: "not run".
+TEST_F(Filings, AFilingThatNoServiceAcceptedIsReportedNotRun)
 {
     this->addEngine();
     this->startHost();
@@ -83,10 +85,9 @@
     EXPECT_EQ(answer.runState(), "not_run");
 }
 
-// The service closes connections that it has answered on, as servers do, while further filings come
-// in. A filing sent into a closing connection has an unknown outcome where it need not have had
-// one.
-TEST_F(Filings, ManyAtOnceRunOnceEach)
+// Guards against filings with an unnecessarily unknown outcome: the service closes its connections
+// after answering, and a filing sent on a closing connection may or may not have run.
+TEST_F(Filings, ConcurrentFilingsRunOnceEach)
 {
     this->addEngine();
     this->startHost();
--- a/tests/sockets/host_fixture.cpp
+++ b/tests/sockets/host_fixture.cpp
@@ -85,7 +85,7 @@
                                      { "service", name },
                                      { "batch_slots", 64 } });
     const nlohmann::json ticket{
-        { "ticket", 1 }, { "by", "tests" }, { "why", "all that the tests use" }, { "set", set }
+        { "ticket", 1 }, { "by", "tests" }, { "why", "configuration of the tests" }, { "set", set }
     };
     return QByteArray::fromStdString(ticket.dump());
 }
@@ -105,11 +105,12 @@
     setUpLog(this->settings.logLevel, "h1");
     this->host = std::make_unique<ControlLoop>(this->settings,
                                                loadKnownCharts(AZUREWELL_CHARTS_DIR).value(),
-                                               [this] { this->hasLeft = true; });
+                                               [this] { this->hasStopped = true; });
     const Result<std::uint16_t> started = this->host->start();
     ASSERT_TRUE(started) << started.error().detail;
     this->port = started.value();
-    // A new host's part of a rate starts empty; half a second earns half of these customers' burst.
+    // A new host's share of a rate starts empty; half a second refills half of these customers'
+    // burst.
     ASSERT_TRUE(waitUntil([this] { return this->metric("azurewell_ticket_in_force") >= 1; }));
 }
 
@@ -117,15 +118,16 @@
 {
     Caller operatorCaller(this->settings.operations.port);
     operatorCaller.write("GET /metrics HTTP/1.1\r\nHost: azurewell\r\n\r\n");
-    return sampleOf(operatorCaller.answer().body, sample);
+    return metricValue(operatorCaller.answer().body, sample);
 }
 
-bool HostFixture::isUnharmed()
+bool HostFixture::isServing()
 {
     Caller caller(this->port);
     caller.post("/v1/completions", completion("routes@3", 3));
     const Answer answer = caller.answer();
-    return answer.isWhole && tokenPositions(answer.body, "routes@3") == std::vector<int>{ 0, 1, 2 };
+    return answer.isComplete
+            && tokenPositions(answer.body, "routes@3") == std::vector<int>{ 0, 1, 2 };
 }
 
 } // namespace azurewell::tests
--- a/tests/sockets/host_fixture.h
+++ b/tests/sockets/host_fixture.h
@@ -15,24 +15,26 @@
 
 namespace azurewell::tests {
 
-/// A whole host in the test's process, on loopback sockets, with stand-ins around it. The host's
-/// control thread is the test's; its traffic threads are real.
+/// A complete host in the test process, on loopback sockets, with stand-ins for everything around
+/// it. The host's control loop runs on the test's thread; its traffic threads are separate.
 class HostFixture : public ::testing::Test
 {
 protected:
     HostFixture();
     ~HostFixture() override;
 
-    /// One more engine; before startHost().
+    /// Adds an engine. Call before startHost().
     standins::Engine &addEngine(standins::EngineOptions options = {});
     /// Publishes the ticket and the list of \a hosts.
     void publish(const nlohmann::json &hosts);
-    /// Publishes the ticket and the host list, starts the host and waits until it serves.
+    /// Publishes the ticket and the host list, starts the host and waits until the ticket is in
+    /// force.
     void startHost();
-    /// The value of a metric's sample, such as `azurewell_retries_total{reason="not_sent"}`.
+    /// The value of a metric sample, such as `azurewell_retries_total{reason="not_sent"}`; -1 if
+    /// absent.
     double metric(const QByteArray &sample);
-    /// Whether the host still answers a streamed request whole.
-    bool isUnharmed();
+    /// Sends a streamed request; whether the host answers it completely.
+    bool isServing();
 
     Settings settings;
     standins::Platform platform;
@@ -41,7 +43,7 @@
     standins::PlainService service;
     std::unique_ptr<ControlLoop> host;
     std::uint16_t port = 0;
-    bool hasLeft = false; ///< The host's planned stop is complete.
+    bool hasStopped = false; ///< The host's planned stop is complete.
 
 private:
     QByteArray ticketText() const;
--- a/tests/sockets/host_process.cpp
+++ b/tests/sockets/host_process.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::string onLoopback(std::uint16_t port)
+std::string loopbackEndpoint(std::uint16_t port)
 {
     return "127.0.0.1:" + std::to_string(port);
 }
@@ -26,13 +26,14 @@
 
 } // namespace
 
-HostPlace makePlace(const std::string &id, const std::string &zone, const std::string &platform)
+HostConfig makeHostConfig(const std::string &id, const std::string &zone,
+                          const std::string &platform)
 {
-    return HostPlace{ id, zone, platform, freePort(), freePort(), freePort() };
+    return HostConfig{ id, zone, platform, freePort(), freePort(), freePort() };
 }
 
-HostProcess::HostProcess(HostPlace hostPlace)
-    : place(std::move(hostPlace))
+HostProcess::HostProcess(HostConfig hostConfig)
+    : config(std::move(hostConfig))
 {
 }
 
@@ -45,14 +46,14 @@
 
 bool HostProcess::start()
 {
-    const nlohmann::json settings{ { "host", this->place.id },
-                                   { "zone", this->place.zone },
+    const nlohmann::json settings{ { "host", this->config.id },
+                                   { "zone", this->config.zone },
                                    { "seat", 0 },
-                                   { "callers", onLoopback(this->place.callers) },
-                                   { "peers", onLoopback(this->place.peers) },
-                                   { "operations", onLoopback(this->place.operations) },
+                                   { "callers", loopbackEndpoint(this->config.callerPort) },
+                                   { "peers", loopbackEndpoint(this->config.peerPort) },
+                                   { "operations", loopbackEndpoint(this->config.operationsPort) },
                                    { "peer_key", "secret of the tests' fleet" },
-                                   { "platform", this->place.platform },
+                                   { "platform", this->config.platform },
                                    { "charts", AZUREWELL_CHARTS_DIR },
                                    { "traffic_threads", 2 },
                                    { "upstream_idle_s", 3 },
@@ -93,12 +94,12 @@
 
 int HostProcess::readyStatus() const
 {
-    return get(this->place.operations, "/readyz").status;
+    return get(this->config.operationsPort, "/readyz").status;
 }
 
 double HostProcess::metric(const QByteArray &sample) const
 {
-    return sampleOf(get(this->place.operations, "/metrics").body, sample);
+    return metricValue(get(this->config.operationsPort, "/metrics").body, sample);
 }
 
 std::int64_t HostProcess::residentBytes() const
--- a/tests/sockets/host_process.h
+++ b/tests/sockets/host_process.h
@@ -10,43 +10,45 @@
 
 namespace azurewell::tests {
 
-/// What differs between the hosts of a test.
-struct HostPlace
+/// The settings in which the hosts of a test differ.
+struct HostConfig
 {
     std::string id = "h1";
     std::string zone = "centro";
     std::string platform; ///< Base URL.
-    std::uint16_t callers = 0;
-    std::uint16_t peers = 0;
-    std::uint16_t operations = 0;
+    std::uint16_t callerPort = 0;
+    std::uint16_t peerPort = 0;
+    std::uint16_t operationsPort = 0;
 };
 
-/// A place with free ports.
-HostPlace makePlace(const std::string &id, const std::string &zone, const std::string &platform);
+/// A configuration with free ports.
+HostConfig makeHostConfig(const std::string &id, const std::string &zone,
+                          const std::string &platform);
 
-/// An azurewelld of a test, as a process of its own.
+/// An azurewelld as a separate process.
 class HostProcess
 {
 public:
-    explicit HostProcess(HostPlace place);
+    explicit HostProcess(HostConfig hostConfig);
     ~HostProcess();
 
-    /// Starts the program and waits until /readyz says 200.
+    /// Starts the program and waits until /readyz answers 200. False after the timeout of
+    /// waitUntil().
     bool start();
     void signal(int number) const;
     bool isRunning() const;
-    /// Waits for its end; its exit code, -1 where it does not end or ended by a signal.
+    /// Waits for its end. The exit code; -1 if it does not end or was ended by a signal.
     int exitCode();
-    /// What it has written to its log so far.
+    /// The log so far.
     QByteArray log();
-    /// The status that /readyz answers, 0 where nothing answers.
+    /// The status of /readyz; 0 without an answer.
     int readyStatus() const;
-    /// The value of a sample at /metrics; -1 where there is none.
+    /// The value of a sample at /metrics; -1 if there is none.
     double metric(const QByteArray &sample) const;
     /// Resident memory in bytes.
     std::int64_t residentBytes() const;
 
-    HostPlace place;
+    HostConfig config;
 
 private:
     QTemporaryDir directory;
--- a/tests/sockets/library_traps_test.cpp
+++ b/tests/sockets/library_traps_test.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr int streamsAtOnce = 200;
+constexpr int concurrentStreams = 200;
 
-/// Answers /slow after 50 ms and all else at once, with nothing between it and QHttpServer.
-class UnguardedServer : public standins::StandinServer
+/// A plain QHttpServer that answers /slow after 50 ms and every other path at once.
+class PlainServer : public standins::StandinServer
 {
 protected:
     void onRequest(const QHttpServerRequest &request, QTcpSocket *socket) override
@@ -42,17 +42,18 @@
 
 } // namespace
 
-using LibraryTraps = HostFixture;
+using LibraryPitfalls = HostFixture;
 
-// A service runs a filing and dies before it answers. The HTTP library sends the request again on a
-// new connection by itself, the notice is filed twice, and the permit is suspended.
-TEST_F(LibraryTraps, ACallThatMustNotRunTwiceIsSentOnce)
+// Guards against automatic retries of QNetworkAccessManager: if a service runs a filing and closes
+// the connection without an answer, the library sends the request again, the notice is filed twice
+// and the permit is suspended.
+TEST_F(LibraryPitfalls, ANonIdempotentCallIsSentOnce)
 {
     this->service.closesWithoutAnswer = true;
     QNetworkAccessManager plain;
     plain.setProxy(QNetworkProxy::NoProxy);
     ASSERT_TRUE(isFinished(plain.post(requestTo(this->service.address()), QByteArray("doubled"))));
-    EXPECT_EQ(this->service.runsByBody["doubled"], 2U) << "the library's trap is gone";
+    EXPECT_EQ(this->service.runsByBody["doubled"], 2U) << "the library no longer behaves this way";
 
     UpstreamPool pool;
     const QByteArray address = QByteArray::fromStdString(this->service.address());
@@ -61,9 +62,9 @@
     EXPECT_EQ(this->service.runsByBody["once"], 1U);
 }
 
-// The same with a call that has no body: a booking is released by DELETE, or all of a call stands
-// in its path.
-TEST_F(LibraryTraps, ACallWithoutABodyIsSentOnceToo)
+// Guards against automatic retries of calls without a body, such as a DELETE that releases a
+// booking.
+TEST_F(LibraryPitfalls, ACallWithoutABodyIsSentOnce)
 {
     this->service.closesWithoutAnswer = true;
     UpstreamPool pool;
@@ -75,15 +76,16 @@
     }
 }
 
-// The HTTP library opens six connections to an engine and lets the seventh request wait without a
-// word. A caller sees first tokens as late as other callers' answers are long, on an idle engine.
-TEST_F(LibraryTraps, NoStreamWaitsForAConnection)
+// Guards against the limit of QNetworkAccessManager, which opens six connections to an engine and
+// queues further requests: on an idle engine, the first token would wait for other callers'
+// answers.
+TEST_F(LibraryPitfalls, StreamsDoNotQueueForAConnection)
 {
     standins::EngineOptions options;
     options.batchSlots = 256;
     standins::Engine &engine = this->addEngine(options);
     this->startHost();
-    ASSERT_TRUE(this->isUnharmed()); // the adapter is loaded from here on
+    ASSERT_TRUE(this->isServing()); // the adapter is now loaded
     engine.faults.silentAfterTokens = 1;
 
     QNetworkAccessManager plain;
@@ -94,51 +96,52 @@
         QObject::connect(reply, &QNetworkReply::readyRead, [&plainAnswers] { ++plainAnswers; });
     }
     std::vector<std::unique_ptr<Caller>> callers;
-    for (int index = 0; index < streamsAtOnce; ++index) {
+    for (int index = 0; index < concurrentStreams; ++index) {
         callers.push_back(std::make_unique<Caller>(this->port));
         callers.back()->post("/v1/completions", completion("routes@3", 2));
     }
     for (const std::unique_ptr<Caller> &caller : callers)
         ASSERT_TRUE(caller->waitFor("routes@3#0"));
-    EXPECT_EQ(plainAnswers, 6) << "the library's trap is gone";
+    EXPECT_EQ(plainAnswers, 6) << "the library no longer behaves this way";
 
     engine.faults.silentAfterTokens = -1;
     for (const std::unique_ptr<Caller> &caller : callers) {
         const Answer answer = caller->answer();
-        EXPECT_TRUE(answer.isWhole);
+        EXPECT_TRUE(answer.isComplete);
         EXPECT_EQ(tokenPositions(answer.body, "routes@3"), (std::vector<int>{ 0, 1 }));
     }
 }
 
-// A caller sends a second request before the first is answered. The HTTP server answers both as
-// they come ready, unlabelled, and the caller takes the second answer for the first.
-TEST_F(LibraryTraps, AnswersOnOneConnectionAreNeverCrossed)
+// Guards against out-of-order answers to pipelined requests: QHttpServer sends each answer when it
+// is ready, and the caller would read the second answer as the first.
+TEST_F(LibraryPitfalls, PipelinedRequestsAreNotAnsweredOutOfOrder)
 {
-    UnguardedServer unguarded;
-    Caller crossed(unguarded.listen(0));
-    crossed.write("GET /slow HTTP/1.1\r\nHost: a\r\n\r\n");
-    crossed.write("GET /fast HTTP/1.1\r\nHost: a\r\n\r\n");
-    ASSERT_TRUE(crossed.waitFor("/slow"));
-    EXPECT_LT(crossed.received.indexOf("/fast"), crossed.received.indexOf("/slow"))
-            << "the library's trap is gone";
+    PlainServer plainServer;
+    Caller pipelining(plainServer.listen(0));
+    pipelining.write("GET /slow HTTP/1.1\r\nHost: a\r\n\r\n");
+    pipelining.write("GET /fast HTTP/1.1\r\nHost: a\r\n\r\n");
+    ASSERT_TRUE(pipelining.waitFor("/slow"));
+    EXPECT_LT(pipelining.received.indexOf("/fast"), pipelining.received.indexOf("/slow"))
+            << "the library no longer behaves this way";
 
     this->addEngine();
     this->startHost();
     Caller caller(this->port);
-    // Long enough that the second request comes before its end on a busy machine too.
+    // Long enough that the second request arrives before its end, on a busy machine too.
     std::vector<int> positions(300);
     std::iota(positions.begin(), positions.end(), 0);
     caller.post("/v1/completions", completion("routes@3", static_cast<int>(positions.size())));
     ASSERT_TRUE(caller.waitFor("routes@3#0"));
     caller.post("/v1/completions", completion("permits@1", 1));
     ASSERT_TRUE(waitUntil([&caller] { return !caller.isOpen(); }));
-    EXPECT_TRUE(caller.answer().isWhole);
+    EXPECT_TRUE(caller.answer().isComplete);
     EXPECT_EQ(tokenPositions(caller.received, "routes@3"), positions);
     EXPECT_FALSE(caller.received.contains("permits@1"));
 }
 
-// Both requests come in one write: the server has read the second before anybody can hold it back.
-TEST_F(LibraryTraps, TwoRequestsInOneWriteAreRefused)
+// Guards against two requests in one write, where the server reads the second before it can be
+// delayed.
+TEST_F(LibraryPitfalls, TwoRequestsInOneWriteAreRefused)
 {
     standins::Engine &engine = this->addEngine();
     this->startHost();
@@ -149,12 +152,12 @@
     caller.write(request + request);
     EXPECT_EQ(caller.answer().code(), 105);
     EXPECT_EQ(engine.completed, 0U);
-    EXPECT_TRUE(this->isUnharmed());
+    EXPECT_TRUE(this->isServing());
 }
 
-// A caller's laptop goes to sleep in mid-answer. Its socket is deleted while tokens for it still
-// come; writing to it then ends the process and cuts off every other caller.
-TEST_F(LibraryTraps, ACallerMayLeaveAtAnyMoment)
+// Guards against writing to the deleted socket of a caller that disconnected in mid-answer, such as
+// a laptop that goes to sleep, which would crash the process and interrupt all other callers.
+TEST_F(LibraryPitfalls, ACallerMayDisconnectAtAnyTime)
 {
     standins::EngineOptions options;
     options.batchSlots = 64;
@@ -170,12 +173,12 @@
     }
     EXPECT_TRUE(waitUntil([this] { return this->metric("azurewell_open_requests") == 0; }));
     EXPECT_TRUE(waitUntil([&engine] { return engine.runningCount() == 0; }));
-    EXPECT_TRUE(this->isUnharmed());
+    EXPECT_TRUE(this->isServing());
 }
 
-// A caller announces, or just sends, a body of 400 MB. The HTTP server takes it whole and the host
-// runs out of memory.
-TEST_F(LibraryTraps, ABodyIsBounded)
+// Guards against running out of memory: QHttpServer buffers a body completely, such as one of
+// 400 MB, with or without an announced length.
+TEST_F(LibraryPitfalls, BodySizeIsLimited)
 {
     this->addEngine();
     this->startHost();
@@ -186,12 +189,12 @@
     unannounced.write(
             "POST /v1/completions HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello");
     EXPECT_EQ(unannounced.answer().code(), 108);
-    EXPECT_TRUE(this->isUnharmed());
+    EXPECT_TRUE(this->isServing());
 }
 
-// A caller sends a byte now and then and never ends its request. Some hundreds of them hold every
-// connection that the host has.
-TEST_F(LibraryTraps, ASlowSenderIsRefused)
+// Guards against slow senders that occupy all connections: a few hundred callers that send a byte
+// now and then and never complete their request.
+TEST_F(LibraryPitfalls, ASlowSenderIsTimedOut)
 {
     this->settings.senderPatience = fromSeconds(0.3);
     this->addEngine();
@@ -200,16 +203,16 @@
     slowHead.write("POST /v1/comp");
     Caller slowBody(this->port);
     slowBody.write("POST /v1/completions HTTP/1.1\r\nContent-Length: 100\r\n\r\n{");
-    QTimer dripping;
-    QObject::connect(&dripping, &QTimer::timeout, [&slowBody] { slowBody.write(" "); });
-    dripping.start(50);
+    QTimer byteTimer;
+    QObject::connect(&byteTimer, &QTimer::timeout, [&slowBody] { slowBody.write(" "); });
+    byteTimer.start(50);
     EXPECT_EQ(slowHead.answer().code(), 104);
     EXPECT_EQ(slowBody.answer().code(), 104);
-    EXPECT_TRUE(this->isUnharmed());
+    EXPECT_TRUE(this->isServing());
 }
 
-// A caller sends headers without end.
-TEST_F(LibraryTraps, AHeadIsBounded)
+// Guards against unbounded memory use by headers without end.
+TEST_F(LibraryPitfalls, HeaderSizeIsLimited)
 {
     this->addEngine();
     this->startHost();
@@ -217,12 +220,12 @@
     caller.write("GET /v1/models HTTP/1.1\r\n"
                  + QByteArray("X-Flood: 0123456789\r\n").repeated(2000));
     EXPECT_EQ(caller.answer().code(), 103);
-    EXPECT_TRUE(this->isUnharmed());
+    EXPECT_TRUE(this->isServing());
 }
 
-// Callers come and go faster than the host looks for closed connections. Those that have gone must
-// not count against the limit, or callers are refused on an idle host.
-TEST_F(LibraryTraps, ClosedConnectionsDoNotCount)
+// Guards against refusals on an idle host when callers connect and disconnect faster than the host
+// polls for closed connections: closed connections must not count against the limit.
+TEST_F(LibraryPitfalls, ClosedConnectionsDoNotCount)
 {
     this->settings.mostConnections = 4;
     this->addEngine();
--- a/tests/sockets/peer_links_test.cpp
+++ b/tests/sockets/peer_links_test.cpp
@@ -23,7 +23,7 @@
     return settings;
 }
 
-/// A host's links, with what they received.
+/// The peer links of a host, with the messages that they received.
 struct Host
 {
     explicit Host(const Settings &settings)
@@ -44,47 +44,47 @@
     std::string address;
 };
 
-/// Passes bytes on between a host and another, as what stands between two ends does, until it loses
-/// track of the connections it has: their bytes are swallowed, new connections work.
-class Between : public QTcpServer
+/// A TCP proxy between two hosts, such as a NAT gateway. After stallConnections() it discards the
+/// bytes of existing connections without closing them; new connections work.
+class StallingProxy : public QTcpServer
 {
 public:
-    explicit Between(std::uint16_t targetPort)
+    explicit StallingProxy(std::uint16_t targetPort)
         : target(targetPort)
     {
         this->listen(QHostAddress::LocalHost, 0);
-        QObject::connect(this, &QTcpServer::newConnection, this, [this] { this->join(); });
+        QObject::connect(this, &QTcpServer::newConnection, this, [this] { this->accept(); });
     }
 
-    void loseTrack()
+    void stallConnections()
     {
-        ++this->era;
+        ++this->generation;
     }
 
 private:
-    void pass(QTcpSocket *from, QTcpSocket *to, int begunIn)
+    void forward(QTcpSocket *from, QTcpSocket *to, int openedIn)
     {
-        QObject::connect(from, &QTcpSocket::readyRead, this, [this, from, to, begunIn] {
+        QObject::connect(from, &QTcpSocket::readyRead, this, [this, from, to, openedIn] {
             const QByteArray bytes = from->readAll();
-            if (begunIn == this->era)
+            if (openedIn == this->generation)
                 to->write(bytes);
         });
     }
 
-    void join()
+    void accept()
     {
         QTcpSocket *near = this->nextPendingConnection();
         QTcpSocket *far = new QTcpSocket(this);
         far->connectToHost("127.0.0.1", this->target);
-        this->pass(near, far, this->era);
-        this->pass(far, near, this->era);
+        this->forward(near, far, this->generation);
+        this->forward(far, near, this->generation);
     }
 
     std::uint16_t target;
-    int era = 0;
+    int generation = 0;
 };
 
-const TicketAsk question{ TicketNumber{ 3 } };
+const TicketAsk ticketRequest{ TicketNumber{ 3 } };
 
 } // namespace
 
@@ -100,27 +100,27 @@
     EXPECT_EQ(second.received.front().sender, HostId{ "h1" });
 }
 
-// Somebody who does not know the fleet's key reaches the peer port and speaks as one of the hosts:
-// it could put a ticket in force that issues it a key.
+// Guards against a client without the fleet's key that impersonates a host on the peer port: it
+// could put a ticket in force that issues it an API key.
 TEST(PeerLinks, MessagesWithoutTheKeyAreRefused)
 {
     Host stranger(settingsOf("h1", "another secret text"));
     Host host(settingsOf("h2"));
-    stranger.links.send(HostId{ "h2" }, host.address, question);
+    stranger.links.send(HostId{ "h2" }, host.address, ticketRequest);
     EXPECT_TRUE(waitUntil([&host] { return host.counters.framesRefused == 1; }));
     EXPECT_TRUE(host.received.empty());
 }
 
-// Somebody has recorded a frame and sends it again, or to another host: an old slot release would
-// free a slot that is in use.
-TEST(PeerLinks, RecordedFramesAreRefused)
+// Guards against replayed frames, to the same or another host: an old slot release would free a
+// slot that is in use.
+TEST(PeerLinks, ReplayedFramesAreRefused)
 {
     Host host(settingsOf("h2"));
-    const PeerMessage message{ HostId{ "h1" }, Incarnation{ 7 }, question };
+    const PeerMessage message{ HostId{ "h1" }, Incarnation{ 7 }, ticketRequest };
     const QByteArray frame = sealFrame(fleetKey, HostId{ "h2" }, 5, message);
     const QByteArray older = sealFrame(fleetKey, HostId{ "h2" }, 4, message);
-    const QByteArray toAnother = sealFrame(fleetKey, HostId{ "h3" }, 6, message);
-    for (const QByteArray &bytes : { frame, frame, older, toAnother }) {
+    const QByteArray toAnotherHost = sealFrame(fleetKey, HostId{ "h3" }, 6, message);
+    for (const QByteArray &bytes : { frame, frame, older, toAnotherHost }) {
         Caller sender(host.port());
         sender.write(bytes);
         ASSERT_TRUE(waitUntil([&] { return !sender.received.isEmpty() || !sender.isOpen(); }));
@@ -129,10 +129,10 @@
     EXPECT_EQ(host.counters.framesRefused, 3U);
 }
 
-// One byte of a frame is changed on the way.
-TEST(PeerLinks, ChangedFramesAreRefused)
+// Guards against frames that were modified or truncated in transit.
+TEST(PeerLinks, ModifiedFramesAreRefused)
 {
-    const PeerMessage message{ HostId{ "h1" }, Incarnation{ 7 }, question };
+    const PeerMessage message{ HostId{ "h1" }, Incarnation{ 7 }, ticketRequest };
     const QByteArray content = sealFrame(fleetKey, HostId{ "h2" }, 5, message).mid(4);
     ASSERT_TRUE(openFrame(fleetKey, HostId{ "h2" }, content));
     for (qsizetype index = 0; index < content.size(); ++index) {
@@ -143,20 +143,20 @@
     }
 }
 
-// Something between two hosts loses track of their connection: bytes go in and nothing comes out,
-// and no error is seen for minutes. Slots of a whole zone would run out of lease meanwhile.
-TEST(PeerLinks, ASilentLinkIsOpenedAgain)
+// Guards against a connection between two hosts that is silently dropped on the way, which TCP
+// reports only after minutes. The slot leases of a whole zone would expire meanwhile.
+TEST(PeerLinks, AnUnresponsiveLinkIsReopened)
 {
     Host first(settingsOf("h1"));
     Host second(settingsOf("h2"));
-    Between between(second.port());
-    const std::string address = "127.0.0.1:" + std::to_string(between.serverPort());
-    first.links.send(HostId{ "h2" }, address, question);
+    StallingProxy proxy(second.port());
+    const std::string address = "127.0.0.1:" + std::to_string(proxy.serverPort());
+    first.links.send(HostId{ "h2" }, address, ticketRequest);
     ASSERT_TRUE(waitUntil([&second] { return second.received.size() == 1; }));
-    between.loseTrack();
+    proxy.stallConnections();
     QTimer heartbeats;
     QObject::connect(&heartbeats, &QTimer::timeout,
-                     [&] { first.links.send(HostId{ "h2" }, address, question); });
+                     [&] { first.links.send(HostId{ "h2" }, address, ticketRequest); });
     heartbeats.start(100);
     EXPECT_TRUE(waitUntil([&second] { return second.received.size() > 1; }));
     EXPECT_EQ(first.counters.linksReopened, 1U);
--- a/tests/sockets/platform_watcher_test.cpp
+++ b/tests/sockets/platform_watcher_test.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/// A configuration service with one ticket and no hosts. It takes the first calls for one key and
-/// never answers them.
-class SilentOnce : public QTcpServer
+/// A configuration service with one ticket and no hosts. It never answers the first calls for one
+/// key.
+class UnresponsiveService : public QTcpServer
 {
 public:
-    SilentOnce(const QByteArray &silentKey, int silentCalls)
-        : silentFor(silentKey)
-        , callsToSwallow(silentCalls)
+    UnresponsiveService(const QByteArray &key, int ignoredCalls)
+        : ignoredKey(key)
+        , callsToIgnore(ignoredCalls)
     {
         this->listen(QHostAddress::LocalHost, 0);
-        QObject::connect(this, &QTcpServer::newConnection, this, [this] { this->take(); });
+        QObject::connect(this, &QTcpServer::newConnection, this, [this] { this->accept(); });
     }
 
     std::string url() const
@@ -31,7 +31,7 @@
     }
 
 private:
-    void take()
+    void accept()
     {
         QTcpSocket *socket = this->nextPendingConnection();
         QObject::connect(socket, &QTcpSocket::readyRead, this,
@@ -41,11 +41,11 @@
     void answer(QTcpSocket *socket)
     {
         const QByteArray head = socket->readAll();
-        if (head.contains(this->silentFor) && this->callsToSwallow > 0) {
-            --this->callsToSwallow;
+        if (head.contains(this->ignoredKey) && this->callsToIgnore > 0) {
+            --this->callsToIgnore;
             return;
         }
-        if (head.contains("index=1")) // nothing changes any more
+        if (head.contains("index=1")) // long poll; the data does not change again
             return;
         QByteArray body = "1";
         if (head.contains("/hosts"))
@@ -56,12 +56,12 @@
                       + QByteArray::number(body.size()) + "\r\n\r\n" + body);
     }
 
-    QByteArray silentFor;
-    int callsToSwallow;
+    QByteArray ignoredKey;
+    int callsToIgnore;
 };
 
-/// How long a host that starts needs to read the ticket; \a most, if it does not by then.
-Span untilTicketIsRead(const SilentOnce &service, Span most)
+/// The time that a starting host needs to read the ticket, at most about \a timeout.
+Span timeUntilTicketIsRead(const UnresponsiveService &service, Span timeout)
 {
     Settings settings = parseSettings(defaultSettingsText()).value();
     settings.platform = service.url();
@@ -74,28 +74,28 @@
             });
     const Instant begin = monotonicNow();
     watcher.start();
-    while (inForce.value == 0 && monotonicNow() - begin < most)
+    while (inForce.value == 0 && monotonicNow() - begin < timeout)
         QCoreApplication::processEvents(QEventLoop::WaitForMoreEvents, 50);
     return monotonicNow() - begin;
 }
 
-/// A confirmed ticket has to be in force after 16 s; a watch that was answered before takes the
-/// most of that.
-constexpr Span mostForAReading = std::chrono::seconds(4);
+/// A confirmed ticket must be in force after 16 s; a watch that was answered before takes most of
+/// that.
+constexpr Span readTimeout = std::chrono::seconds(4);
 
-// Guards against a read that the configuration service never answers, which held up all tickets
-// until its connection was given up for good.
-TEST(PlatformWatcherTest, ATicketIsReadAgainSoonWhenItsReadIsNotAnswered)
+// Guards against a read that the configuration service never answers, which blocked all tickets
+// until its connection timed out.
+TEST(PlatformWatcherTest, AnUnansweredReadOfATicketIsRetriedWithinFourSeconds)
 {
-    const SilentOnce service("/tickets/1?", 1);
-    EXPECT_LT(untilTicketIsRead(service, 2 * mostForAReading), mostForAReading);
+    const UnresponsiveService service("/tickets/1?", 1);
+    EXPECT_LT(timeUntilTicketIsRead(service, 2 * readTimeout), readTimeout);
 }
 
-// Guards against a first call into a silence that outlives it.
-TEST(PlatformWatcherTest, TheHostListIsReadAgainSoonWhenItsReadIsNotAnswered)
+// Guards against a first read of the host list that is never answered and not retried.
+TEST(PlatformWatcherTest, AnUnansweredReadOfTheHostListIsRetriedWithinFourSeconds)
 {
-    const SilentOnce service("/hosts", 1);
-    EXPECT_LT(untilTicketIsRead(service, 2 * mostForAReading), mostForAReading);
+    const UnresponsiveService service("/hosts", 1);
+    EXPECT_LT(timeUntilTicketIsRead(service, 2 * readTimeout), readTimeout);
 }
 
 } // namespace
--- a/tests/sockets/stop_test.cpp
+++ b/tests/sockets/stop_test.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr int longStream = 400; // two seconds at the stand-ins' 5 ms a token
+constexpr int longStreamTokens = 400; // 2 s at the stand-in engines' 5 ms a token
 
 } // namespace
 
-/// A host as a process of its own, with the stand-ins in the test's.
+/// A host as a separate process, with the stand-ins in the test process.
 class PlannedStop : public HostFixture
 {
 protected:
@@ -19,29 +19,29 @@
     {
         this->addEngine();
         this->process = std::make_unique<HostProcess>(
-                makePlace("h1", "centro", "http://" + this->platform.address()));
-        this->publish(
-                { { { "id", "h1" },
-                    { "zone", "centro" },
-                    { "address", "127.0.0.1:" + std::to_string(this->process->place.peers) } } });
+                makeHostConfig("h1", "centro", "http://" + this->platform.address()));
+        this->publish({ { { "id", "h1" },
+                          { "zone", "centro" },
+                          { "address",
+                            "127.0.0.1:" + std::to_string(this->process->config.peerPort) } } });
         ASSERT_TRUE(this->process->start());
-        this->port = this->process->place.callers;
-        ASSERT_TRUE(this->isUnharmed());
+        this->port = this->process->config.callerPort;
+        ASSERT_TRUE(this->isServing());
     }
 
     std::unique_ptr<HostProcess> process;
 };
 
 // The platform replaces a host under load: streams are half sent, a filing waits for its answer,
-// and callers still come because the balancer has not noticed. Nothing may be cut off, refused
-// without need or reset, and the program ends by itself with code 0.
-TEST_F(PlannedStop, CutsOffNothing)
+// and callers still connect until the load balancer removes the host. No request may be
+// interrupted, refused unnecessarily or reset, and the process exits with code 0.
+TEST_F(PlannedStop, InterruptsNoRequest)
 {
     this->service.answerMillis = 1500;
     std::vector<std::unique_ptr<Caller>> streams;
     for (int index = 0; index < 6; ++index) {
         streams.push_back(std::make_unique<Caller>(this->port));
-        streams.back()->post("/v1/completions", completion("routes@3", longStream));
+        streams.back()->post("/v1/completions", completion("routes@3", longStreamTokens));
         ASSERT_TRUE(streams.back()->waitFor("routes@3#2"));
     }
     Caller filing(this->port);
@@ -49,11 +49,11 @@
     ASSERT_TRUE(waitUntil([this] { return this->service.runs == 1; }));
     Caller keptAlive(this->port);
     keptAlive.post("/v1/completions", completion("routes@3", 1));
-    ASSERT_TRUE(keptAlive.answer().isWhole);
+    ASSERT_TRUE(keptAlive.answer().isComplete);
 
     this->process->signal(SIGTERM);
     ASSERT_TRUE(waitUntil([this] { return this->process->readyStatus() == 503; }));
-    EXPECT_TRUE(this->isUnharmed()) << "a request that still arrives is served";
+    EXPECT_TRUE(this->isServing()) << "a request that arrives after SIGTERM must be served";
     keptAlive.received.clear();
     keptAlive.post("/v1/completions", completion("routes@3", 1));
     const Answer kept = keptAlive.answer();
@@ -61,18 +61,19 @@
     EXPECT_EQ(kept.headers.at("connection"), "close");
     for (const std::unique_ptr<Caller> &stream : streams) {
         const Answer answer = stream->answer();
-        EXPECT_TRUE(answer.isWhole);
+        EXPECT_TRUE(answer.isComplete);
         EXPECT_EQ(tokenPositions(answer.body, "routes@3").size(),
-                  static_cast<std::size_t>(longStream));
+                  static_cast<std::size_t>(longStreamTokens));
     }
     EXPECT_EQ(filing.answer().status, 200);
     EXPECT_EQ(this->service.runs, 1U);
     EXPECT_EQ(this->process->exitCode(), 0);
 }
 
-// Callers come without pause until the port is closed. Each that could connect gets an answer, 200
-// or a refusal that says "not run"; a connection that is reset would leave it guessing.
-TEST_F(PlannedStop, AnswersWhoeverCouldConnect)
+// Callers connect continuously until the port is closed. Guards against connections that are
+// accepted and then reset, which leaves the run state unknown: each gets 200 or a refusal with
+// "not_run".
+TEST_F(PlannedStop, AnswersEveryAcceptedConnection)
 {
     this->process->signal(SIGTERM);
     int answered = 0;
@@ -82,7 +83,7 @@
             break;
         caller.post("/v1/completions", completion("routes@3", 1));
         const Answer answer = caller.answer();
-        EXPECT_TRUE(answer.isWhole);
+        EXPECT_TRUE(answer.isComplete);
         EXPECT_TRUE(answer.status == 200 || answer.runState() == "not_run") << answer.status;
         ++answered;
     }
@@ -90,28 +91,29 @@
     EXPECT_EQ(this->process->exitCode(), 0);
 }
 
-// A host is stopped for longer than every lease, while a stream runs through it, and wakes up with
-// old beliefs. What the engine sent meanwhile still belongs to the caller; nothing is sent on the
-// slot of before, and the host serves again.
-TEST_F(PlannedStop, AHostThatWakesLateServesOnNewLeases)
+// A host is paused for longer than every lease, while it relays a stream, and resumes with outdated
+// state. Tokens that the engine sent meanwhile still reach the caller; nothing is sent on the
+// expired slot, and the host serves again.
+TEST_F(PlannedStop, AHostThatResumesAfterLeaseExpiryServesOnNewLeases)
 {
     Caller stream(this->port);
-    stream.post("/v1/completions", completion("routes@3", longStream));
+    stream.post("/v1/completions", completion("routes@3", longStreamTokens));
     ASSERT_TRUE(stream.waitFor("routes@3#2"));
     this->service.answerMillis = 500;
     Caller filing(this->port);
     filing.post("/services/filings/notices", "{}");
     ASSERT_TRUE(waitUntil([this] { return this->service.runs == 1; }));
     this->process->signal(SIGSTOP);
-    const Instant wakes = monotonicNow() + fromSeconds(11); // a slot is leased for ten
-    ASSERT_TRUE(waitUntil([wakes] { return monotonicNow() >= wakes; }));
+    const Instant resumesAt = monotonicNow() + fromSeconds(11); // a slot lease is 10 s
+    ASSERT_TRUE(waitUntil([resumesAt] { return monotonicNow() >= resumesAt; }));
     this->process->signal(SIGCONT);
     const Answer answer = stream.answer();
-    EXPECT_TRUE(answer.isWhole);
-    EXPECT_EQ(tokenPositions(answer.body, "routes@3").size(), static_cast<std::size_t>(longStream));
-    EXPECT_EQ(filing.answer().status, 200) << "its answer waited in a buffer";
+    EXPECT_TRUE(answer.isComplete);
+    EXPECT_EQ(tokenPositions(answer.body, "routes@3").size(),
+              static_cast<std::size_t>(longStreamTokens));
+    EXPECT_EQ(filing.answer().status, 200) << "the answer was buffered while the host was paused";
     EXPECT_EQ(this->service.runs, 1U);
-    EXPECT_TRUE(this->isUnharmed());
+    EXPECT_TRUE(this->isServing());
     EXPECT_EQ(this->engines[0]->unloadedWhileServing, 0U);
 }
 
--- a/tests/sockets/streams_test.cpp
+++ b/tests/sockets/streams_test.cpp
@@ -18,9 +18,9 @@
 class Streams : public HostFixture
 {
 protected:
-    /// Two engines; a stream of \a tokens tokens that has come as far as its second token at one of
-    /// them. \a fault is set on both, and taken back from the one that does not serve the stream.
-    void beginStream(const standins::EngineFaults &fault, int tokens)
+    /// Starts two engines and a stream of \a tokens tokens, and waits for its second token.
+    /// \a fault is set on both and reset on the one that does not serve the stream.
+    void startStream(const standins::EngineFaults &fault, int tokens)
     {
         this->settings.upstreamIdle = fromSeconds(0.5);
         this->addEngine().faults = fault;
@@ -29,98 +29,101 @@
         this->caller = std::make_unique<Caller>(this->port);
         this->caller->post("/v1/completions", completion("routes@3", tokens));
         ASSERT_TRUE(this->caller->waitFor("routes@3#1"));
-        this->serving = this->engines[0]->tokensMade > 0 ? this->engines[0].get()
-                                                         : this->engines[1].get();
-        this->other = this->engines[0]->tokensMade > 0 ? this->engines[1].get()
-                                                       : this->engines[0].get();
-        this->other->faults = {};
+        this->servingEngine = this->engines[0]->tokensMade > 0 ? this->engines[0].get()
+                                                               : this->engines[1].get();
+        this->otherEngine = this->engines[0]->tokensMade > 0 ? this->engines[1].get()
+                                                             : this->engines[0].get();
+        this->otherEngine->faults = {};
     }
 
     std::unique_ptr<Caller> caller;
-    standins::Engine *serving = nullptr;
-    standins::Engine *other = nullptr;
+    standins::Engine *servingEngine = nullptr;
+    standins::Engine *otherEngine = nullptr;
 };
 
-// The connection to an engine goes silent for good in mid-stream, while new ones work: something
-// between the two ends has lost track of it. Without a deadline the caller waits for ever; with a
-// plain repeat it reads the first tokens twice.
-TEST_F(Streams, ASilentConnectionIsNoticedAndTheStreamResumed)
+// The connection to an engine is silently dropped in mid-stream, while new connections work.
+// Without a timeout the caller would wait forever; with a plain retry it would read the first
+// tokens twice.
+TEST_F(Streams, AStreamIsResumedWhenItsConnectionStalls)
 {
-    this->beginStream({}, 200);
-    this->serving->silenceConnections();
+    this->startStream({}, 200);
+    this->servingEngine->silenceConnections();
     const Answer answer = this->caller->answer();
-    EXPECT_TRUE(answer.isWhole);
+    EXPECT_TRUE(answer.isComplete);
     EXPECT_EQ(tokenPositions(answer.body, "routes@3"), positionsUpTo(200));
     EXPECT_TRUE(answer.body.endsWith("data: [DONE]\n\n"));
     EXPECT_EQ(this->metric("azurewell_retries_total{reason=\"upstream_silent\"}"), 1);
     EXPECT_EQ(this->metric("azurewell_resumes_total"), 1);
-    EXPECT_EQ(this->other->tokensMade, 0U) << "the engine has the stream still";
+    EXPECT_EQ(this->otherEngine->tokensMade, 0U)
+            << "the stream must resume at the engine that still has it";
 }
 
-// It is the engine that has gone silent, on new connections too.
-TEST_F(Streams, AStreamOfASilentEngineIsResumedAtAnother)
+// The engine itself stops sending, on new connections too.
+TEST_F(Streams, AStreamOfAnUnresponsiveEngineIsResumedAtAnother)
 {
     standins::EngineFaults fault;
     fault.silentAfterTokens = 5;
-    this->beginStream(fault, 40);
+    this->startStream(fault, 40);
     const Answer answer = this->caller->answer();
-    EXPECT_TRUE(answer.isWhole);
+    EXPECT_TRUE(answer.isComplete);
     EXPECT_EQ(tokenPositions(answer.body, "routes@3"), positionsUpTo(40));
     EXPECT_EQ(this->metric("azurewell_resumes_total"), 2);
 }
 
-// An engine closes the connection in mid-stream, or restarts cold and has lost the adapter too.
-TEST_F(Streams, AStreamThatIsCutOffIsResumed)
+// An engine closes the connection in mid-stream.
+TEST_F(Streams, AStreamIsResumedWhenItsConnectionIsClosed)
 {
     standins::EngineFaults fault;
     fault.closeAfterTokens = 7;
-    this->beginStream(fault, 40);
+    this->startStream(fault, 40);
     const Answer answer = this->caller->answer();
-    EXPECT_TRUE(answer.isWhole);
+    EXPECT_TRUE(answer.isComplete);
     EXPECT_EQ(tokenPositions(answer.body, "routes@3"), positionsUpTo(40));
 }
 
-TEST_F(Streams, AnEngineThatRestartsColdInMidStreamCostsNoToken)
+// An engine restarts in mid-stream and has lost the adapter too.
+TEST_F(Streams, NoTokenIsLostWhenAnEngineRestartsColdInMidStream)
 {
-    this->beginStream({}, 200);
-    this->serving->restartCold();
+    this->startStream({}, 200);
+    this->servingEngine->restartCold();
     const Answer answer = this->caller->answer();
-    EXPECT_TRUE(answer.isWhole);
+    EXPECT_TRUE(answer.isComplete);
     EXPECT_EQ(tokenPositions(answer.body, "routes@3"), positionsUpTo(200));
 }
 
-// The engine that takes a stream over begins at the first token, because it does not know how to
-// resume. The caller would read the beginning twice; it is told that the stream ended early.
-TEST_F(Streams, AnEngineThatCannotResumeDoublesNoToken)
+// Guards against duplicate tokens from an engine that does not support resuming and restarts the
+// stream at its first token. The caller gets an error that the stream ended early.
+TEST_F(Streams, NoTokenIsDuplicatedByAnEngineThatCannotResume)
 {
     standins::EngineFaults fault;
     fault.closeAfterTokens = 5;
     fault.ignoresResume = true;
-    this->beginStream(fault, 40);
-    this->other->faults.ignoresResume = true;
+    this->startStream(fault, 40);
+    this->otherEngine->faults.ignoresResume = true;
     const Answer answer = this->caller->answer();
-    EXPECT_TRUE(answer.isWhole);
+    EXPECT_TRUE(answer.isComplete);
     EXPECT_EQ(tokenPositions(answer.body, "routes@3"), positionsUpTo(5));
     EXPECT_FALSE(answer.body.contains("[DONE]"));
     EXPECT_TRUE(answer.body.contains("\"run_state\":\"outcome_unknown\""))
             << answer.body.right(300).toStdString();
 }
 
-// Text that an adapter makes looks like the frame of an event. Counted as one, it shifts the place
-// where a stream is resumed; taken for the end, it cuts the answer off.
-TEST_F(Streams, TextThatLooksLikeAnEventIsText)
+// Generated text contains the framing of a server-sent event. Parsed as an event, it would shift
+// the position at which a stream is resumed; parsed as the end, it would truncate the answer.
+TEST_F(Streams, TextThatLooksLikeAnEventIsNotParsedAsOne)
 {
     standins::EngineFaults fault;
     fault.closeAfterTokens = 5;
     fault.tokenSuffix = "data: [DONE] data: ";
-    this->beginStream(fault, 40);
-    this->other->faults.tokenSuffix = fault.tokenSuffix;
+    this->startStream(fault, 40);
+    this->otherEngine->faults.tokenSuffix = fault.tokenSuffix;
     const Answer answer = this->caller->answer();
-    EXPECT_TRUE(answer.isWhole);
+    EXPECT_TRUE(answer.isComplete);
     EXPECT_EQ(tokenPositions(answer.body, "routes@3"), positionsUpTo(40));
 }
 
-// An engine mixes up the answers to two open requests. Each caller would read another's text.
+// Guards against an engine that swaps the answers to two requests: each caller would read the
+// other's text.
 TEST_F(Streams, AnAnswerToAnotherRequestReachesNoCaller)
 {
     std::vector<standins::EngineFaults> faults(4);
@@ -130,83 +133,84 @@
     faults[3].answersOtherModel = true;
     this->addEngine();
     this->startHost();
-    ASSERT_TRUE(this->isUnharmed());
+    ASSERT_TRUE(this->isServing());
     for (std::size_t index = 0; index < faults.size(); ++index) {
         this->engines[0]->faults = faults[index];
         const double before = this->metric("azurewell_answer_mismatches_total");
-        Caller asker(this->port);
-        asker.post("/v1/completions", completion("routes@3", 4, index != 3));
-        const Answer answer = asker.answer();
-        EXPECT_TRUE(answer.isWhole);
+        Caller client(this->port);
+        client.post("/v1/completions", completion("routes@3", 4, index != 3));
+        const Answer answer = client.answer();
+        EXPECT_TRUE(answer.isComplete);
         EXPECT_FALSE(answer.body.contains("#")) << index;
         EXPECT_EQ(answer.runState(), "outcome_unknown") << index;
         EXPECT_EQ(this->metric("azurewell_answer_mismatches_total"), before + 1) << index;
         this->engines[0]->faults = {};
-        // Three failures in a row keep an engine out of use for some seconds.
-        ASSERT_TRUE(waitUntil([this] { return this->isUnharmed(); }));
+        // After three consecutive failures an engine is not used for some seconds.
+        ASSERT_TRUE(waitUntil([this] { return this->isServing(); }));
     }
 }
 
-// An engine has lost an adapter and says so with 404. Passed on, the caller would believe that its
-// adapter does not exist.
-TEST_F(Streams, AnEnginesWordThatTheAdapterIsNotLoadedIsNotTheCallers)
+// Guards against passing on the 404 of an engine that has lost an adapter: the caller would
+// conclude that the adapter does not exist.
+TEST_F(Streams, TheNotFoundOfAnEngineWithoutTheAdapterIsNotPassedOn)
 {
     this->addEngine();
     this->addEngine();
     this->startHost();
-    ASSERT_TRUE(this->isUnharmed());
+    ASSERT_TRUE(this->isServing());
     for (const std::unique_ptr<standins::Engine> &engine : this->engines)
         engine->forgetAdapters();
-    Caller asker(this->port);
-    asker.post("/v1/completions", completion("routes@3", 3));
-    const Answer answer = asker.answer();
+    Caller client(this->port);
+    client.post("/v1/completions", completion("routes@3", 3));
+    const Answer answer = client.answer();
     EXPECT_NE(answer.status, 404);
     EXPECT_TRUE(answer.status == 200 || answer.runState() == "not_run") << answer.status;
 }
 
-// A caller goes away in mid-stream. The engine would go on generating for nobody, in a slot that
-// others wait for.
-TEST_F(Streams, ACallerThatLeavesFreesItsSlot)
+// Guards against an engine that keeps generating for a caller that disconnected in mid-stream, in a
+// slot that other requests wait for.
+TEST_F(Streams, ACallerThatDisconnectsFreesItsSlot)
 {
-    this->beginStream({}, 100'000);
+    this->startStream({}, 100'000);
     this->caller->socket.abort();
-    EXPECT_TRUE(waitUntil([this] { return this->serving->cancelled >= 1; }));
+    EXPECT_TRUE(waitUntil([this] { return this->servingEngine->cancelled >= 1; }));
     EXPECT_TRUE(waitUntil([this] { return this->metric("azurewell_open_requests") == 0; }));
-    EXPECT_EQ(this->serving->runningCount(), 0U);
+    EXPECT_EQ(this->servingEngine->runningCount(), 0U);
     EXPECT_EQ(this->metric("azurewell_refusals_total{reason=\"caller_gone\"}"), 1);
 }
 
-// A caller stops reading and keeps its connection. What its engine makes would fill the host's
-// memory, and the slot would be held as long as the caller likes.
-TEST_F(Streams, ACallerThatDoesNotReadIsBoundedAndThenDropped)
+// Guards against a caller that stops reading but keeps its connection: its tokens would fill the
+// host's memory, and its slot would stay occupied.
+TEST_F(Streams, ACallerThatDoesNotReadIsDisconnected)
 {
     this->settings.readerPatience = fromSeconds(0.5);
     standins::EngineFaults fault;
     fault.tokenSuffix = std::string(20'000, 'x');
-    this->beginStream(fault, 100'000);
+    this->startStream(fault, 100'000);
     this->caller->socket.setReadBufferSize(1);
     QObject::disconnect(&this->caller->socket, &QTcpSocket::readyRead, nullptr, nullptr);
     EXPECT_TRUE(waitUntil([this] { return this->metric("azurewell_open_requests") == 0; }));
     EXPECT_EQ(this->metric("azurewell_refusals_total{reason=\"caller_gone\"}"), 1);
-    EXPECT_EQ(this->serving->runningCount(), 0U);
-    EXPECT_LT(this->serving->tokensMade, 2000U); // 40 MB; the buffers on the way hold some
+    EXPECT_EQ(this->servingEngine->runningCount(), 0U);
+    EXPECT_LT(this->servingEngine->tokensMade, 2000U); // 40 MB; socket buffers hold a part
 }
 
-// A caller reads in bursts: it pauses for less than the host's patience. It gets all of its answer.
-TEST_F(Streams, ACallerThatReadsInBurstsGetsAll)
+// Guards against disconnecting a caller that reads in bursts, with pauses shorter than the host's
+// timeout.
+TEST_F(Streams, ACallerThatReadsInBurstsGetsItsCompleteAnswer)
 {
     standins::EngineFaults fault;
     fault.tokenSuffix = std::string(20'000, 'x');
-    this->beginStream(fault, 200);
+    this->startStream(fault, 200);
     QTcpSocket &socket = this->caller->socket;
     QObject::disconnect(&socket, &QTcpSocket::readyRead, nullptr, nullptr);
     socket.setReadBufferSize(1 << 16);
-    QTimer reading;
-    QObject::connect(&reading, &QTimer::timeout,
+    QTimer readTimer;
+    QObject::connect(&readTimer, &QTimer::timeout,
                      [this, &socket] { this->caller->received += socket.readAll(); });
-    reading.start(2);
+    readTimer.start(2);
     const Answer answer = this->caller->answer();
-    EXPECT_TRUE(answer.isWhole);
+    EXPECT_TRUE(answer.isComplete);
     EXPECT_EQ(tokenPositions(answer.body, "routes@3"), positionsUpTo(200));
 }
 
