--- a/tests/random_faults/checks.cpp
+++ b/tests/random_faults/checks.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Clocks of the hosts run up to this much fast, and earn as much more.
+/// Upper bound of the hosts' clock rates; a fast clock increases a token rate by the same factor.
 constexpr double driftAllowance = 1.001;
 
 } // namespace
@@ -15,59 +15,59 @@
         this->failure = what;
 }
 
-void Checks::receive(const CustomerId &customer, std::int64_t amount, Instant now)
+void Checks::countTokens(const CustomerId &customer, std::int64_t amount, Instant now)
 {
-    Ledger &ledger = this->ledgers[customer];
-    const double covered = toSeconds(now - ledger.at) * ledger.rate * driftAllowance;
-    ledger.level = std::max(0.0, ledger.level - covered) + static_cast<double>(amount);
+    TokenLedger &ledger = this->ledgers[customer];
+    const double drained = toSeconds(now - ledger.at) * ledger.rate * driftAllowance;
+    ledger.level = std::max(0.0, ledger.level - drained) + static_cast<double>(amount);
     ledger.at = now;
     if (ledger.level > ledger.burst * driftAllowance + 1)
         this->fail("rate: " + customer.value + " received " + std::to_string(ledger.level)
-                   + " above its rate, burst " + std::to_string(ledger.burst));
+                   + " tokens above its rate, burst " + std::to_string(ledger.burst));
 }
 
-void Checks::noteRun(const RequestId &request, const UpstreamId &where)
+void Checks::recordRun(const RequestId &request, const UpstreamId &where)
 {
-    CallerView &caller = this->callers.at(request);
+    CallerRecord &caller = this->callers.at(request);
     ++caller.runs;
     ++this->runs;
-    if (caller.isNotRunClaimed)
+    if (caller.isReportedNotRun)
         this->fail("not run: " + request.value + " ran at " + where.value + " after its refusal");
-    if (caller.asked.kind == RequestKind::ServiceCall && caller.runs > 1)
+    if (caller.request.kind == RequestKind::ServiceCall && caller.runs > 1)
         this->fail("at most once: " + request.value + " ran again at " + where.value);
 }
 
-void Checks::noteRefusal(const Refuse &refusal)
+void Checks::recordRefusal(const Refuse &refusal)
 {
     const auto found = this->callers.find(refusal.request);
     if (found == this->callers.end())
         return;
-    CallerView &caller = found->second;
-    if (caller.isEnded && !caller.hasLeft)
-        this->fail("answers: " + refusal.request.value + " was ended twice");
+    CallerRecord &caller = found->second;
+    if (caller.isEnded && !caller.hasDisconnected)
+        this->fail("answers: " + refusal.request.value + " received two final results");
     caller.isEnded = true;
     ++this->refused;
     ++this->refusals[refusal.code];
-    caller.isNotRunClaimed = refusal.runState == RunState::NotRun;
-    if (caller.isNotRunClaimed && caller.runs > 0)
-        this->fail("not run: " + refusal.request.value + " had run, refused with "
+    caller.isReportedNotRun = refusal.runState == RunState::NotRun;
+    if (caller.isReportedNotRun && caller.runs > 0)
+        this->fail("not run: " + refusal.request.value + " had run before it was refused with "
                    + std::string(infoOf(refusal.code).name));
 }
 
-void Checks::noteToken(const RequestId &caller, const RequestId &writtenFor,
-                       const AdapterRef &adapter, std::int64_t place, Instant now)
+void Checks::recordToken(const RequestId &caller, const RequestId &writtenFor,
+                         const AdapterRef &adapter, std::int64_t position, Instant now)
 {
-    CallerView &view = this->callers.at(caller);
-    if (writtenFor != caller || place != view.tokens)
-        this->fail("answers: " + caller.value + " got token " + std::to_string(place) + " of "
+    CallerRecord &view = this->callers.at(caller);
+    if (writtenFor != caller || position != view.tokens)
+        this->fail("answers: " + caller.value + " got token " + std::to_string(position) + " of "
                    + writtenFor.value + " after " + std::to_string(view.tokens));
-    if (adapter != view.asked.adapter)
+    if (adapter != view.request.adapter)
         this->fail("adapter: " + caller.value + " was answered by " + adapter.value);
     ++view.tokens;
-    this->receive(view.owner, 1, now);
+    this->countTokens(view.owner, 1, now);
 }
 
-void Checks::noteUnload(const UpstreamId &engine, const AdapterRef &adapter, bool isServing)
+void Checks::recordUnload(const UpstreamId &engine, const AdapterRef &adapter, bool isServing)
 {
     if (isServing)
         this->fail("eviction: " + engine.value + " unloaded " + adapter.value + " while serving");
--- a/tests/random_faults/checks.h
+++ b/tests/random_faults/checks.h
@@ -9,54 +9,54 @@
 
 namespace azurewell::faults {
 
-/// A fault that the harness commits on purpose, one for each promise, to show that the check of
-/// that promise can fail.
-enum class Sabotage : std::uint8_t {
+/// A bug that the harness injects on purpose, one for each invariant, to show that the check of
+/// that invariant can fail.
+enum class InjectedBug : std::uint8_t {
     None,
-    IgnorePins,       ///< Keepers forget what is pinned.
-    SwapAdapter,      ///< The shell sends another adapter's name.
-    IgnoreOwner,      ///< The shell runs a request although its refusal was ordered.
-    KeepWithdrawnKey, ///< Withdrawn keys stay in the hosts' tables.
-    FreeTokens,       ///< Buckets are filled up at each tick.
-    CrossAnswers,     ///< Two streams on one host exchange their tokens.
-    LieNotRun,        ///< Refusals say "not run" whatever the core said.
-    SendTwice,        ///< Service calls are sent twice.
-    UseLeaving,       ///< Hosts take every upstream for live.
-    LeaveAtOnce,      ///< A planned stop ends the process without waiting.
-    OlderTicket,      ///< A host falls back to its first state now and then.
+    IgnorePins,          ///< Coordinators ignore the pins of adapters.
+    SwapAdapter,         ///< The shell sends the name of another adapter.
+    IgnoreCustomer,      ///< The shell runs requests that were refused with AdapterUnknown.
+    KeepWithdrawnKey,    ///< Hosts keep accepting withdrawn keys.
+    RefillBuckets,       ///< Token buckets are refilled at each tick.
+    CrossAnswers,        ///< Two streams at one engine swap their tokens.
+    AlwaysClaimNotRun,   ///< All refusals are reported as "not run".
+    SendTwice,           ///< Service calls are sent twice.
+    UseLeavingUpstreams, ///< Hosts treat every upstream as live.
+    ExitWithoutDraining, ///< A planned stop exits without waiting for requests.
+    RevertToFirstTicket, ///< A host randomly reverts to its first configuration.
 };
 
-inline constexpr int sabotageCount = 12;
+inline constexpr int injectedBugCount = 12;
 
-/// What the harness knows of one caller's request; the hosts do not see it.
-struct CallerView
+/// The state of a caller's request in the harness; not visible to the hosts.
+struct CallerRecord
 {
     HostId host;
-    Incarnation life;
-    RequestArrived asked;
-    CustomerId owner;           ///< Of the key; empty where the key was never issued.
-    std::int64_t tokens = 0;    ///< Passed on to the caller.
-    std::uint32_t attempt = 0;  ///< The newest that was dispatched.
+    Incarnation incarnation; ///< Of the host process.
+    RequestArrived request;
+    CustomerId owner;           ///< Of the key; empty if the key was never issued.
+    std::int64_t tokens = 0;    ///< Sent to the caller so far.
+    std::uint32_t attempt = 0;  ///< Number of the last dispatched attempt.
     bool isAttemptOpen = false; ///< The traffic thread holds a connection for it.
-    int runs = 0;               ///< Times that an upstream began to run it.
+    int runs = 0;               ///< Times that an upstream started to run it.
     bool isEnded = false;
-    bool hasLeft = false; ///< Closed its connection.
-    bool isNotRunClaimed = false;
+    bool hasDisconnected = false;  ///< Closed its connection.
+    bool isReportedNotRun = false; ///< Refused with run state "not run".
 };
 
-/// The ten promises, each checked at the moment it can be broken. The first failure is kept.
+/// Checks of the ten invariants, each at the events that can violate it. Keeps the first failure.
 struct Checks
 {
-    struct Ledger
+    struct TokenLedger
     {
         double rate = 0;
         double burst = 0;
-        double level = 0; ///< Tokens received and not covered by the rate yet.
+        double level = 0; ///< Tokens received in excess of the rate, as in a leaky bucket.
         Instant at;
     };
 
-    std::map<RequestId, CallerView> callers;
-    std::map<CustomerId, Ledger> ledgers;
+    std::map<RequestId, CallerRecord> callers;
+    std::map<CustomerId, TokenLedger> ledgers;
     std::optional<std::string> failure;
     std::uint64_t completed = 0;
     std::uint64_t refused = 0;
@@ -64,15 +64,15 @@
     std::uint64_t runs = 0;
 
     void fail(const std::string &what);
-    /// \a amount reached the customer; the level never passes the burst if and only if every window
-    /// stays within rate x time + burst.
-    void receive(const CustomerId &customer, std::int64_t amount, Instant now);
-    void noteRun(const RequestId &request, const UpstreamId &where);
-    void noteRefusal(const Refuse &refusal);
-    /// A token of a stream: its request, adapter and place in the answer as the engine wrote them.
-    void noteToken(const RequestId &caller, const RequestId &writtenFor, const AdapterRef &adapter,
-                   std::int64_t place, Instant now);
-    void noteUnload(const UpstreamId &engine, const AdapterRef &adapter, bool isServing);
+    /// Counts \a amount tokens sent to the customer. The level never exceeds the burst if and only
+    /// if every window stays within rate x time + burst.
+    void countTokens(const CustomerId &customer, std::int64_t amount, Instant now);
+    void recordRun(const RequestId &request, const UpstreamId &where);
+    void recordRefusal(const Refuse &refusal);
+    /// Checks a token of a stream by the request, adapter and position that the engine wrote.
+    void recordToken(const RequestId &caller, const RequestId &writtenFor,
+                     const AdapterRef &adapter, std::int64_t position, Instant now);
+    void recordUnload(const UpstreamId &engine, const AdapterRef &adapter, bool isServing);
 };
 
 } // namespace azurewell::faults
--- a/tests/random_faults/disturb.cpp
+++ b/tests/random_faults/disturb.cpp
@@ -11,11 +11,11 @@
 enum class Fault : std::uint8_t {
     Pause,
     Replace,
-    CutZone,
-    CutFromPlatform,
+    PartitionZone,
+    PartitionFromPlatform,
     RestartEngine,
     FailLoads,
-    Messy,
+    UnreliableMessages,
     HideHost,
     SlowOrders,
     StalePlatform,
@@ -25,23 +25,25 @@
 };
 constexpr std::size_t faultCount = 13;
 constexpr std::array<const char *, faultCount> faultNames{
-    "pause",        "replace",         "cut zone",  "cut from platform", "restart engine",
-    "fail loads",   "messy",           "hide host", "slow orders",       "stale platform",
-    "planned stop", "upstream leaves", "ticket"
+    "pause",          "replace",        "partition zone",      "partition from platform",
+    "restart engine", "fail loads",     "unreliable messages", "hide host",
+    "slow orders",    "stale platform", "planned stop",        "upstream leaves",
+    "ticket change"
 };
-/// In each step; a trial of 600 steps meets about 20, most of them overlapping another.
+/// Probability in each step; a run of 600 steps has about 20 faults, most of them overlapping
+/// another.
 constexpr double faultChance = 0.035;
 
 } // namespace
 
-void World::disturb()
+void World::injectFault()
 {
     if (!this->chance(faultChance))
         return;
-    SimHost &host = this->hosts[this->pick(this->hosts.size())];
-    Engine &engine = this->engines[this->pick(this->engines.size())];
-    const Instant until = this->now + this->between(0.5, 15);
-    const std::size_t fault = this->pick(faultCount);
+    SimHost &host = this->hosts[this->randomIndex(this->hosts.size())];
+    Engine &engine = this->engines[this->randomIndex(this->engines.size())];
+    const Instant until = this->now + this->randomSpan(0.5, 15);
+    const std::size_t fault = this->randomIndex(faultCount);
     this->trace(fmt::format("fault {} at {} / {} for {:.1f} s", faultNames[fault], host.id.value,
                             engine.id.value, toSeconds(until - this->now)));
     switch (static_cast<Fault>(fault)) {
@@ -52,14 +54,14 @@
         if (!host.isStopping)
             this->startHost(host);
         break;
-    case Fault::CutZone:
+    case Fault::PartitionZone:
         for (int zone = 0; zone <= zoneCount; ++zone) {
             if (zone != host.zoneIndex)
-                this->cutUntil[std::minmax(host.zoneIndex, zone)] = until;
+                this->partitionedUntil[std::minmax(host.zoneIndex, zone)] = until;
         }
         break;
-    case Fault::CutFromPlatform:
-        this->cutUntil[std::minmax(host.zoneIndex, zoneCount)] = until;
+    case Fault::PartitionFromPlatform:
+        this->partitionedUntil[std::minmax(host.zoneIndex, zoneCount)] = until;
         break;
     case Fault::RestartEngine:
         engine.restart();
@@ -67,11 +69,11 @@
     case Fault::FailLoads:
         engine.failsLoadsUntil = until;
         break;
-    case Fault::Messy:
-        this->messyUntil = until;
+    case Fault::UnreliableMessages:
+        this->unreliableUntil = until;
         break;
     case Fault::HideHost:
-        host.hiddenFromList = this->hosts[this->pick(this->hosts.size())].id;
+        host.hiddenFromList = this->hosts[this->randomIndex(this->hosts.size())].id;
         host.hiddenUntil = until + fromSeconds(15);
         break;
     case Fault::SlowOrders:
@@ -83,10 +85,10 @@
     case Fault::PlannedStop:
         if (host.isUp && !this->isPaused(host) && !host.isStopping) {
             host.isStopping = true;
-            if (this->options.sabotage == Sabotage::LeaveAtOnce)
-                this->carryOut(host, LeaveProcess{});
+            if (this->options.injectedBug == InjectedBug::ExitWithoutDraining)
+                this->execute(host, LeaveProcess{});
             else
-                this->give(host, StopAsked{});
+                this->deliver(host, StopAsked{});
         }
         break;
     case Fault::UpstreamLeaves:
@@ -101,30 +103,30 @@
     }
 }
 
-void World::sabotageHost(SimHost &host)
+void World::injectBug(SimHost &host)
 {
-    switch (this->options.sabotage) {
-    case Sabotage::IgnorePins:
+    switch (this->options.injectedBug) {
+    case InjectedBug::IgnorePins:
         for (auto &[id, kept] : host.state.kept) {
             for (auto &[ref, adapter] : kept.adapters.adapters)
                 adapter.pins = 0;
         }
         break;
-    case Sabotage::KeepWithdrawnKey:
+    case InjectedBug::KeepWithdrawnKey:
         for (auto &[hash, key] : host.state.inForce.keys)
             key.state = KeyState::Issued;
         break;
-    case Sabotage::FreeTokens:
+    case InjectedBug::RefillBuckets:
         for (auto &[id, shares] : host.state.shares.customers)
             shares.part.bucket.level = shares.part.bucket.burst;
         break;
-    case Sabotage::UseLeaving:
+    case InjectedBug::UseLeavingUpstreams:
         for (auto &[id, upstream] : host.state.upstreams)
             upstream.state = UpstreamState::Live;
         break;
-    case Sabotage::OlderTicket:
-        if (host.firstState.ticket.value > 0 && this->chance(0.01))
-            host.state.inForce = host.firstState;
+    case InjectedBug::RevertToFirstTicket:
+        if (host.initialState.ticket.value > 0 && this->chance(0.01))
+            host.state.inForce = host.initialState;
         break;
     default:
         break;
--- a/tests/random_faults/engine.cpp
+++ b/tests/random_faults/engine.cpp
@@ -12,9 +12,9 @@
 
 bool Engine::refusesFencing(FencingNumber number)
 {
-    if (this->checksFencing && number < this->highest)
+    if (this->checksFencing && number < this->highestFencing)
         return true;
-    this->highest = std::max(this->highest, number);
+    this->highestFencing = std::max(this->highestFencing, number);
     return false;
 }
 
--- a/tests/random_faults/engine.h
+++ b/tests/random_faults/engine.h
@@ -15,12 +15,12 @@
     Incarnation incarnation;
     std::uint32_t attempt = 0;
     AdapterRef adapter;
-    std::int64_t place = 0; ///< Of its next token in the whole answer.
-    std::int64_t most = 0;
-    bool isBegun = false;
+    std::int64_t position = 0;  ///< Of its next token in the complete answer.
+    std::int64_t maxTokens = 0; ///< Of the complete answer.
+    bool hasStarted = false;
 };
 
-/// An engine that batches, as far as the keepers can tell.
+/// A simulated engine with batching and adapter slots, as seen by the coordinating hosts.
 struct Engine
 {
     UpstreamId id;
@@ -32,7 +32,7 @@
     std::uint32_t loading = 0;
     std::vector<Sequence> sequences;
     std::uint64_t start = 1;
-    FencingNumber highest;
+    FencingNumber highestFencing;
     Instant failsLoadsUntil;
 
     bool isServing(const AdapterRef &adapter) const;
--- a/tests/random_faults/main.cpp
+++ b/tests/random_faults/main.cpp
@@ -3,26 +3,27 @@
 #include <CLI/CLI.hpp>
 #include <fmt/format.h>
 
-/// Runs seeded trials of the whole multi-host core with faults, and stops at the first seed that
-/// breaks a promise. A seed replays exactly.
+/// Simulates several hosts under random faults for each seed, and stops at the first seed that
+/// violates an invariant. Runs are deterministic for a given seed.
 int main(int argc, char **argv)
 {
     using namespace azurewell::faults;
-    CLI::App app{ "Randomised faults over many hosts in one process" };
+    CLI::App app{ "Injects random faults into several hosts in one process and checks invariants" };
     Options options;
     std::string seeds;
-    bool goesOn = false;
-    int sabotage = 0;
-    app.add_option("--seed", options.seed, "The seed of the trial");
-    app.add_option("--seeds", seeds, "A range of seeds, A..B, both tried");
-    app.add_option("--hosts", options.hosts, "Hosts, spread over three zones");
-    app.add_option("--steps", options.steps, "Steps of 50 ms of virtual time");
-    app.add_option("--sabotage", sabotage, "A fault of the harness itself (see checks.h)");
-    app.add_flag("--go-on", goesOn, "Tries all seeds and lists every failure");
-    app.add_flag("--trace", options.isTraced, "Prints what the hosts do and what is done to them");
+    bool continuesOnFailure = false;
+    int injectedBug = 0;
+    app.add_option("--seed", options.seed, "Seed of the run");
+    app.add_option("--seeds", seeds, "Range of seeds, A..B, inclusive");
+    app.add_option("--hosts", options.hosts, "Number of hosts, spread over three zones");
+    app.add_option("--steps", options.steps, "Number of steps of 50 ms virtual time");
+    app.add_option("--sabotage", injectedBug,
+                   "Number of a bug to inject (enum InjectedBug in checks.h)");
+    app.add_flag("--go-on", continuesOnFailure, "Runs all seeds and lists every failure");
+    app.add_flag("--trace", options.isTraced, "Prints faults and the actions of the hosts");
     CLI11_PARSE(app, argc, argv);
 
-    options.sabotage = static_cast<Sabotage>(sabotage);
+    options.injectedBug = static_cast<InjectedBug>(injectedBug);
     std::uint64_t first = options.seed;
     std::uint64_t last = options.seed;
     const std::size_t dots = seeds.find("..");
@@ -48,7 +49,7 @@
         ++failures;
         fmt::print("FAILED {}\n  replay: random_faults --seed {} --hosts {} --steps {}\n", *failure,
                    options.seed, options.hosts, options.steps);
-        if (!goesOn)
+        if (!continuesOnFailure)
             break;
     }
     fmt::print("seeds {}..{}: {} failed; {} requests answered, {} refused, {} runs at upstreams\n",
--- a/tests/random_faults/platform.cpp
+++ b/tests/random_faults/platform.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int customerCount = 3;
-constexpr int adaptersEach = 3;
+constexpr int adaptersPerCustomer = 3;
 constexpr double ratePerSecond = 60;
 constexpr double burst = 480;
 
@@ -41,7 +41,7 @@
     this->publishedAt.push_back(this->now);
 }
 
-void World::publishFirst()
+void World::publishInitialTicket()
 {
     std::string zones;
     std::string customers;
@@ -72,12 +72,12 @@
             this->keys[KeyHash{ keyName(customer, number) }] = CustomerId{ fmt::format("c{}",
                                                                                        customer) };
         }
-        for (int number = 0; number < adaptersEach; ++number)
+        for (int number = 0; number < adaptersPerCustomer; ++number)
             append(adapters,
                    fmt::format(R"({{ "adapter": "c{0}-a{1}@1", "customer": "c{0}",
                 "base": "m" }})",
                                customer, number));
-        this->checks.ledgers[CustomerId{ fmt::format("c{}", customer) }] = Checks::Ledger{
+        this->checks.ledgers[CustomerId{ fmt::format("c{}", customer) }] = Checks::TokenLedger{
             ratePerSecond, burst, 0, this->now
         };
     }
@@ -91,8 +91,8 @@
 
 void World::publishChange()
 {
-    const int customer = static_cast<int>(this->pick(customerCount));
-    const int number = static_cast<int>(this->pick(4));
+    const int customer = static_cast<int>(this->randomIndex(customerCount));
+    const int number = static_cast<int>(this->randomIndex(4));
     const KeyHash key{ keyName(customer, number) };
     const bool isWithdrawn = this->chance(0.5);
     if (isWithdrawn && !this->keys.contains(key))
@@ -108,25 +108,25 @@
 
 void World::readPlatform(SimHost &host)
 {
-    if (this->now < host.nextPlatformRead || this->isCut(host.zoneIndex, zoneCount))
+    if (this->now < host.nextPlatformRead || this->isPartitioned(host.zoneIndex, zoneCount))
         return;
-    host.nextPlatformRead = this->now + this->between(0.3, 1.0);
+    host.nextPlatformRead = this->now + this->randomSpan(0.3, 1.0);
     std::size_t newest = this->tickets.size();
     const bool isStale = this->stalePlatformUntil > this->now;
     if (isStale)
-        newest = 1 + this->pick(newest); // an index may also go back
+        newest = 1 + this->randomIndex(newest); // a stale index may be lower than one read before
     const std::size_t from = std::min<std::size_t>(host.state.inForce.ticket.value, newest - 1);
     for (std::size_t index = from; index < newest; ++index)
-        this->give(host, TicketRead{ this->tickets[index] });
-    if (host.firstState.ticket.value == 0)
-        host.firstState = host.state.inForce;
+        this->deliver(host, TicketRead{ this->tickets[index] });
+    if (host.initialState.ticket.value == 0)
+        host.initialState = host.state.inForce;
 }
 
 void World::readList(SimHost &host)
 {
-    if (this->now < host.nextListRead || this->isCut(host.zoneIndex, zoneCount))
+    if (this->now < host.nextListRead || this->isPartitioned(host.zoneIndex, zoneCount))
         return;
-    host.nextListRead = this->now + this->between(0.5, 3);
+    host.nextListRead = this->now + this->randomSpan(0.5, 3);
     HostListRead list;
     for (const SimHost &other : this->hosts) {
         const bool isHidden = other.id == host.hiddenFromList && host.hiddenUntil > this->now;
@@ -141,64 +141,66 @@
         else
             host.leavingSince.erase(engine.id);
     }
-    this->give(host, list);
+    this->deliver(host, list);
 }
 
 void World::checkTickets(SimHost &host)
 {
     const TicketNumber inForce = host.state.inForce.ticket;
-    if (inForce < host.highestSeen)
-        this->checks.fail(fmt::format("ticket: {} went back from {} to {}", host.id.value,
-                                      host.highestSeen.value, inForce.value));
-    host.highestSeen = std::max(host.highestSeen, inForce);
-    if (inForce.value >= this->tickets.size() || this->stalePlatformUntil + promptly > this->now)
+    if (inForce < host.highestTicket)
+        this->checks.fail(fmt::format("ticket: {} reverted from {} to {}", host.id.value,
+                                      host.highestTicket.value, inForce.value));
+    host.highestTicket = std::max(host.highestTicket, inForce);
+    if (inForce.value >= this->tickets.size()
+        || this->stalePlatformUntil + propagationLimit > this->now)
         return;
     const Instant published = this->publishedAt[inForce.value];
-    if (this->now > std::max(published, host.connectedSince) + promptly)
-        this->checks.fail(
-                fmt::format("ticket: {} lacks {} after seconds", host.id.value, inForce.value + 1));
+    if (this->now > std::max(published, host.connectedSince) + propagationLimit)
+        this->checks.fail(fmt::format("ticket: {} has not applied {} in time", host.id.value,
+                                      inForce.value + 1));
 }
 
 void World::sendRequests()
 {
     for (SimHost &host : this->hosts) {
-        const bool isTaking = host.isUp && !this->isPaused(host);
-        if (!isTaking || !this->chance(0.15))
+        const bool isRunning = host.isUp && !this->isPaused(host);
+        if (!isRunning || !this->chance(0.15))
             continue;
-        const int customer = static_cast<int>(this->pick(customerCount));
-        RequestArrived asked;
-        asked.request = RequestId{ fmt::format(
+        const int customer = static_cast<int>(this->randomIndex(customerCount));
+        RequestArrived request;
+        request.request = RequestId{ fmt::format(
                 "{}-{}-{}", host.id.value, host.state.self.incarnation.value, ++host.requests) };
-        asked.kind = this->chance(0.2) ? RequestKind::ServiceCall : RequestKind::Completion;
-        // Two of four keys are issued at first.
-        const std::size_t number = this->chance(0.9) ? this->pick(2) : this->pick(4);
-        asked.key = KeyHash{ keyName(customer, static_cast<int>(number)) };
+        request.kind = this->chance(0.2) ? RequestKind::ServiceCall : RequestKind::Completion;
+        // Initially two of the four keys are issued.
+        const std::size_t number = this->chance(0.9) ? this->randomIndex(2) : this->randomIndex(4);
+        request.key = KeyHash{ keyName(customer, static_cast<int>(number)) };
         const int adapterOwner = this->chance(0.05) ? (customer + 1) % customerCount : customer;
-        asked.adapter = AdapterRef{ fmt::format("c{}-a{}@1", adapterOwner,
-                                                this->pick(adaptersEach)) };
-        asked.service = ServiceId{ "filings" };
-        asked.promptTokens = Tokens{ static_cast<std::int64_t>(1 + this->pick(30)) };
-        asked.mostGenerated = Tokens{ static_cast<std::int64_t>(5 + this->pick(40)) };
-        if (asked.kind == RequestKind::ServiceCall)
-            asked.mostGenerated = {};
-        asked.deadline = this->clockOf(host) + this->between(3, 20);
-        CallerView caller;
+        request.adapter = AdapterRef{ fmt::format("c{}-a{}@1", adapterOwner,
+                                                  this->randomIndex(adaptersPerCustomer)) };
+        request.service = ServiceId{ "filings" };
+        request.promptTokens = Tokens{ static_cast<std::int64_t>(1 + this->randomIndex(30)) };
+        request.mostGenerated = Tokens{ static_cast<std::int64_t>(5 + this->randomIndex(40)) };
+        if (request.kind == RequestKind::ServiceCall)
+            request.mostGenerated = {};
+        request.deadline = this->clockOf(host) + this->randomSpan(3, 20);
+        CallerRecord caller;
         caller.host = host.id;
-        caller.life = host.state.self.incarnation;
-        caller.asked = asked;
-        const auto owner = this->keys.find(asked.key);
+        caller.incarnation = host.state.self.incarnation;
+        caller.request = request;
+        const auto owner = this->keys.find(request.key);
         caller.owner = owner == this->keys.end() ? CustomerId{} : owner->second;
-        this->checks.callers[asked.request] = caller;
-        this->give(host, asked);
+        this->checks.callers[request.request] = caller;
+        this->deliver(host, request);
         if (this->chance(0.05))
-            this->later(this->between(0.1, 3),
-                        [this, request = asked.request, id = host.id,
-                         life = host.state.self.incarnation] {
-                            CallerView &left = this->checks.callers.at(request);
-                            left.hasLeft = !left.isEnded;
-                            if (!std::exchange(left.isEnded, true))
-                                this->giveLife(id, life, CallerLeft{ request });
-                        });
+            this->schedule(this->randomSpan(0.1, 3),
+                           [this, requestId = request.request, id = host.id,
+                            incarnation = host.state.self.incarnation] {
+                               CallerRecord &record = this->checks.callers.at(requestId);
+                               record.hasDisconnected = !record.isEnded;
+                               if (!std::exchange(record.isEnded, true))
+                                   this->deliverToIncarnation(id, incarnation,
+                                                              CallerLeft{ requestId });
+                           });
     }
 }
 
--- a/tests/random_faults/random_faults_test.cpp
+++ b/tests/random_faults/random_faults_test.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// Whether the check whose messages begin with \a check fails under \a sabotage for any of a few
-/// seeds; what failed otherwise is returned for the reader.
-std::string firstFailure(Sabotage sabotage, const std::string &check)
+/// The first failure within 40 seeds whose message begins with \a check; if there is none, the last
+/// other failure or "no failure".
+std::string firstFailure(InjectedBug bug, const std::string &check)
 {
     std::string others = "no failure";
     Options options;
-    options.sabotage = sabotage;
+    options.injectedBug = bug;
     for (options.seed = 1; options.seed <= 40; ++options.seed) {
         World world(options);
         const std::optional<std::string> failure = world.run();
@@ -25,33 +25,33 @@
 
 struct Case
 {
-    Sabotage sabotage;
-    const char *check; ///< How the message of the check begins, after the seed and step.
+    InjectedBug bug;
+    const char *check; ///< Start of the failure message, after seed and step.
 };
 
-class EachPromise : public testing::TestWithParam<Case>
+class EachInvariant : public testing::TestWithParam<Case>
 {
 };
 
 } // namespace
 
-// A check that cannot fail proves nothing. Each case breaks one promise on purpose, outside the
-// core, and the check of just that promise has to notice.
-TEST_P(EachPromise, IsNoticedWhenBroken)
+// Guards against checks that cannot fail. Each case injects a bug outside the core that violates
+// one invariant, and the check of that invariant must fail.
+TEST_P(EachInvariant, IsDetectedWhenViolated)
 {
-    const std::string failure = firstFailure(GetParam().sabotage, GetParam().check);
+    const std::string failure = firstFailure(GetParam().bug, GetParam().check);
     EXPECT_NE(failure.find(std::string(": ") + GetParam().check), std::string::npos) << failure;
 }
 
-INSTANTIATE_TEST_SUITE_P(RandomFaults, EachPromise,
-                         testing::Values(Case{ Sabotage::IgnorePins, "eviction:" },
-                                         Case{ Sabotage::SwapAdapter, "adapter:" },
-                                         Case{ Sabotage::IgnoreOwner, "customer:" },
-                                         Case{ Sabotage::KeepWithdrawnKey, "key:" },
-                                         Case{ Sabotage::FreeTokens, "rate:" },
-                                         Case{ Sabotage::CrossAnswers, "answers:" },
-                                         Case{ Sabotage::LieNotRun, "not run:" },
-                                         Case{ Sabotage::SendTwice, "at most once:" },
-                                         Case{ Sabotage::UseLeaving, "leaving:" },
-                                         Case{ Sabotage::LeaveAtOnce, "planned stop:" },
-                                         Case{ Sabotage::OlderTicket, "ticket:" }));
+INSTANTIATE_TEST_SUITE_P(RandomFaults, EachInvariant,
+                         testing::Values(Case{ InjectedBug::IgnorePins, "eviction:" },
+                                         Case{ InjectedBug::SwapAdapter, "adapter:" },
+                                         Case{ InjectedBug::IgnoreCustomer, "customer:" },
+                                         Case{ InjectedBug::KeepWithdrawnKey, "key:" },
+                                         Case{ InjectedBug::RefillBuckets, "rate:" },
+                                         Case{ InjectedBug::CrossAnswers, "answers:" },
+                                         Case{ InjectedBug::AlwaysClaimNotRun, "not run:" },
+                                         Case{ InjectedBug::SendTwice, "at most once:" },
+                                         Case{ InjectedBug::UseLeavingUpstreams, "leaving:" },
+                                         Case{ InjectedBug::ExitWithoutDraining, "planned stop:" },
+                                         Case{ InjectedBug::RevertToFirstTicket, "ticket:" }));
--- a/tests/random_faults/shell.cpp
+++ b/tests/random_faults/shell.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// How long the fake shell waits for an upstream that cannot be reached, or has gone silent.
-constexpr Span silence = fromSeconds(2);
+/// Time after which the simulated shell abandons an unreachable or unresponsive upstream.
+constexpr Span upstreamTimeout = fromSeconds(2);
 
 int zoneIndexOf(const ZoneId &zone)
 {
@@ -24,16 +24,16 @@
 
 } // namespace
 
-void World::carryOut(SimHost &host, const Action &action)
+void World::execute(SimHost &host, const Action &action)
 {
     if (const Refuse *refusal = std::get_if<Refuse>(&action)) {
-        Refuse told = *refusal;
-        if (this->options.sabotage == Sabotage::LieNotRun)
-            told.runState = RunState::NotRun;
-        if (this->options.sabotage == Sabotage::IgnoreOwner
-            && told.code == ResultCode::AdapterUnknown) {
+        Refuse reported = *refusal;
+        if (this->options.injectedBug == InjectedBug::AlwaysClaimNotRun)
+            reported.runState = RunState::NotRun;
+        if (this->options.injectedBug == InjectedBug::IgnoreCustomer
+            && reported.code == ResultCode::AdapterUnknown) {
             this->dispatch(host,
-                           Dispatch{ told.request,
+                           Dispatch{ reported.request,
                                      1,
                                      this->engines.front().id,
                                      "",
@@ -42,32 +42,33 @@
                                      this->clockOf(host) + fromSeconds(1) });
             return;
         }
-        this->trace(fmt::format("{} refuses {}: {} {}", host.id.value, told.request.value,
-                                infoOf(told.code).name, nameOf(told.runState)));
-        this->checks.noteRefusal(told);
+        this->trace(fmt::format("{} refuses {}: {} {}", host.id.value, reported.request.value,
+                                infoOf(reported.code).name, nameOf(reported.runState)));
+        this->checks.recordRefusal(reported);
     } else if (const Dispatch *toSend = std::get_if<Dispatch>(&action)) {
         this->dispatch(host, *toSend);
     } else if (const CancelAttempt *toCancel = std::get_if<CancelAttempt>(&action)) {
         this->trace(fmt::format("{} cancels {} at {}", host.id.value, toCancel->request.value,
                                 toCancel->upstream.value));
         this->closeAttempt(host, *toCancel);
-        this->later(this->between(0.001, 0.02), [this, order = *toCancel] { this->cancel(order); });
+        this->schedule(this->randomSpan(0.001, 0.02),
+                       [this, order = *toCancel] { this->cancel(order); });
     } else if (const SendPeer *message = std::get_if<SendPeer>(&action)) {
         this->sendPeer(host, *message);
     } else if (const OrderEngine *order = std::get_if<OrderEngine>(&action)) {
         this->orderEngine(host, *order);
-    } else if (const AskLoad *question = std::get_if<AskLoad>(&action)) {
-        this->askLoad(host, *question);
+    } else if (const AskLoad *query = std::get_if<AskLoad>(&action)) {
+        this->queryLoad(host, *query);
     } else if (std::holds_alternative<LeaveProcess>(action)) {
         for (const auto &[id, caller] : this->checks.callers) {
-            if (caller.host == host.id && caller.life == host.state.self.incarnation
+            if (caller.host == host.id && caller.incarnation == host.state.self.incarnation
                 && !caller.isEnded)
-                this->checks.fail("planned stop: " + host.id.value + " cut off " + id.value);
+                this->checks.fail("planned stop: " + host.id.value + " interrupted " + id.value);
         }
         host.isUp = false;
-        this->later(this->between(0.5, 3), [this, id = host.id] {
-            if (!this->hostOf(id).isUp)
-                this->startHost(this->hostOf(id));
+        this->schedule(this->randomSpan(0.5, 3), [this, id = host.id] {
+            if (!this->findHost(id).isUp)
+                this->startHost(this->findHost(id));
         });
     }
 }
@@ -84,115 +85,121 @@
                                 message.to.value));
     const std::string frame = encodeFrame(
             PeerMessage{ host.id, host.state.self.incarnation, message.body });
-    const bool isMessy = this->messyUntil > this->now;
-    const int copies = isMessy && this->chance(0.1) ? 2 : 1;
+    const bool isUnreliable = this->unreliableUntil > this->now;
+    const int copies = isUnreliable && this->chance(0.1) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-        if (isMessy && this->chance(0.2))
+        if (isUnreliable && this->chance(0.2))
             continue;
-        const Span delay = isMessy ? this->between(0.001, 1.0) : this->between(0.0005, 0.005);
-        this->later(delay, [this, frame, from = host.zoneIndex, to = message.to] {
-            SimHost &receiver = this->hostOf(to);
-            if (this->isCut(from, receiver.zoneIndex))
+        const Span delay = isUnreliable ? this->randomSpan(0.001, 1.0)
+                                        : this->randomSpan(0.0005, 0.005);
+        this->schedule(delay, [this, frame, from = host.zoneIndex, to = message.to] {
+            SimHost &receiver = this->findHost(to);
+            if (this->isPartitioned(from, receiver.zoneIndex))
                 return;
             const Result<PeerMessage> decoded = decodePayload(
                     std::string_view(frame).substr(frameHeadBytes));
-            this->give(receiver, PeerMessageReceived{ decoded.value() });
+            this->deliver(receiver, PeerMessageReceived{ decoded.value() });
         });
     }
 }
 
-void World::checkDispatch(SimHost &host, const Dispatch &order, const CallerView &caller)
+void World::checkDispatch(SimHost &host, const Dispatch &order, const CallerRecord &caller)
 {
     const std::string &name = order.request.value;
-    const auto withdrawn = this->withdrawnAt.find(caller.asked.key);
+    const auto withdrawn = this->withdrawnAt.find(caller.request.key);
     if (withdrawn != this->withdrawnAt.end()
-        && this->now > std::max(withdrawn->second, host.connectedSince) + promptly)
-        this->checks.fail("key: " + name + " sent with a withdrawn key");
+        && this->now > std::max(withdrawn->second, host.connectedSince) + propagationLimit)
+        this->checks.fail("key: " + name + " was sent with a withdrawn key");
     const auto leaving = host.leavingSince.find(order.upstream);
     if (leaving != host.leavingSince.end() && this->now > leaving->second + fromSeconds(5))
         this->checks.fail("leaving: " + name + " sent to " + order.upstream.value);
-    const bool isOwners = caller.asked.kind == RequestKind::ServiceCall
-            || caller.asked.adapter.value.starts_with(caller.owner.value + "-");
+    const bool isOwners = caller.request.kind == RequestKind::ServiceCall
+            || caller.request.adapter.value.starts_with(caller.owner.value + "-");
     if (caller.owner.value.empty() || !isOwners)
-        this->checks.fail("customer: " + name + " sent for another customer");
+        this->checks.fail("customer: " + name + " was sent for another customer");
     if (order.resumeFrom.count != caller.tokens)
         this->checks.fail("answers: " + name + " resumes at the wrong token");
 }
 
 void World::dispatch(SimHost &host, const Dispatch &order)
 {
-    CallerView &caller = this->checks.callers.at(order.request);
+    CallerRecord &caller = this->checks.callers.at(order.request);
     this->trace(fmt::format("{} sends {} ({}) to {}", host.id.value, order.request.value,
-                            caller.asked.adapter.value, order.upstream.value));
+                            caller.request.adapter.value, order.upstream.value));
     this->checkDispatch(host, order, caller);
     caller.attempt = order.attempt;
     caller.isAttemptOpen = true;
     if (order.attempt == 1)
-        this->checks.receive(caller.owner, caller.asked.promptTokens.count, this->now);
-    const Incarnation life = host.state.self.incarnation;
-    const bool isTwice = this->options.sabotage == Sabotage::SendTwice && !order.mayRunTwice;
-    for (int copy = 0; copy < (isTwice ? 2 : 1); ++copy) {
-        this->later(this->between(0.0005, 0.01),
-                    [this, id = host.id, life, order] { this->send(id, life, order); });
+        this->checks.countTokens(caller.owner, caller.request.promptTokens.count, this->now);
+    const Incarnation incarnation = host.state.self.incarnation;
+    const bool isDuplicated = this->options.injectedBug == InjectedBug::SendTwice
+            && !order.mayRunTwice;
+    for (int copy = 0; copy < (isDuplicated ? 2 : 1); ++copy) {
+        this->schedule(this->randomSpan(0.0005, 0.01), [this, id = host.id, incarnation, order] {
+            this->send(id, incarnation, order);
+        });
     }
 }
 
-void World::send(const HostId &id, Incarnation life, const Dispatch &order)
+void World::send(const HostId &id, Incarnation incarnation, const Dispatch &order)
 {
-    const SimHost &sender = this->hostOf(id);
-    if (!sender.isUp || sender.state.self.incarnation != life)
+    const SimHost &sender = this->findHost(id);
+    if (!sender.isUp || sender.state.self.incarnation != incarnation)
         return;
     if (this->isPaused(sender)) {
-        this->later(sender.pausedUntil - this->now + Span{ 1 },
-                    [this, id, life, order] { this->send(id, life, order); });
+        this->schedule(sender.pausedUntil - this->now + Span{ 1 },
+                       [this, id, incarnation, order] { this->send(id, incarnation, order); });
         return;
     }
-    // The traffic thread looks at the deadline just before the first byte.
+    // The traffic thread checks the deadline just before it sends the first byte.
     const bool isLate = this->clockOf(sender) >= order.notAfter;
-    CallerView &caller = this->checks.callers.at(order.request);
+    CallerRecord &caller = this->checks.callers.at(order.request);
     if (!caller.isAttemptOpen || caller.attempt != order.attempt)
-        return; // cancelled before the first byte
-    const bool isUnsent = isLate || this->isCut(sender.zoneIndex, zoneIndexOf(order.upstream));
+        return; // cancelled before the first byte was sent
+    const bool isUnsent = isLate
+            || this->isPartitioned(sender.zoneIndex, zoneIndexOf(order.upstream));
     caller.isAttemptOpen = !isUnsent;
     if (isUnsent)
-        this->giveLife(id, life,
-                       AttemptEnded{ order.request, order.attempt, AttemptOutcome::NotSent,
-                                     order.resumeFrom, order.resumeFrom.count > 0 });
+        this->deliverToIncarnation(id, incarnation,
+                                   AttemptEnded{ order.request, order.attempt,
+                                                 AttemptOutcome::NotSent, order.resumeFrom,
+                                                 order.resumeFrom.count > 0 });
     else
-        this->arrive(id, life, order);
+        this->arrive(id, incarnation, order);
 }
 
-void World::arrive(const HostId &host, Incarnation life, const Dispatch &order)
+void World::arrive(const HostId &host, Incarnation incarnation, const Dispatch &order)
 {
-    Engine *engine = this->engineOf(order.upstream);
+    Engine *engine = this->findEngine(order.upstream);
     if (!engine) {
-        this->runService(host, life, order);
+        this->runService(host, incarnation, order);
         return;
     }
-    CallerView &caller = this->checks.callers.at(order.request);
-    if (caller.isEnded && this->options.sabotage != Sabotage::IgnoreOwner)
-        return; // the traffic thread had the cancel before the first byte
-    AdapterRef adapter = caller.asked.adapter;
-    if (this->options.sabotage == Sabotage::SwapAdapter && !engine->loaded.empty())
+    CallerRecord &caller = this->checks.callers.at(order.request);
+    if (caller.isEnded && this->options.injectedBug != InjectedBug::IgnoreCustomer)
+        return; // the traffic thread received the cancellation before the first byte was sent
+    AdapterRef adapter = caller.request.adapter;
+    if (this->options.injectedBug == InjectedBug::SwapAdapter && !engine->loaded.empty())
         adapter = *engine->loaded.begin();
     if (!engine->loaded.contains(adapter)) {
         caller.isAttemptOpen = false;
-        this->giveLife(host, life,
-                       AttemptEnded{ order.request, order.attempt, AttemptOutcome::Refused,
-                                     order.resumeFrom, order.resumeFrom.count > 0 });
+        this->deliverToIncarnation(host, incarnation,
+                                   AttemptEnded{ order.request, order.attempt,
+                                                 AttemptOutcome::Refused, order.resumeFrom,
+                                                 order.resumeFrom.count > 0 });
         return;
     }
-    this->checks.noteRun(order.request, order.upstream);
-    engine->sequences.push_back(Sequence{ order.request, host, life, order.attempt, adapter,
-                                          order.resumeFrom.count, caller.asked.mostGenerated.count,
-                                          false });
+    this->checks.recordRun(order.request, order.upstream);
+    engine->sequences.push_back(Sequence{ order.request, host, incarnation, order.attempt, adapter,
+                                          order.resumeFrom.count,
+                                          caller.request.mostGenerated.count, false });
 }
 
-void World::runService(const HostId &host, Incarnation life, const Dispatch &order)
+void World::runService(const HostId &host, Incarnation incarnation, const Dispatch &order)
 {
     const bool isRefused = this->chance(0.1);
     if (!isRefused)
-        this->checks.noteRun(order.request, order.upstream);
+        this->checks.recordRun(order.request, order.upstream);
     const bool isAnswerLost = this->chance(0.1);
     AttemptOutcome outcome = isAnswerLost ? AttemptOutcome::Failed : AttemptOutcome::Done;
     if (isRefused)
@@ -200,105 +207,115 @@
     Sequence call;
     call.request = order.request;
     call.host = host;
-    call.incarnation = life;
+    call.incarnation = incarnation;
     call.attempt = order.attempt;
-    this->endAttempt(call, outcome, this->between(0.05, 1.5));
+    this->endAttempt(call, outcome, this->randomSpan(0.05, 1.5));
 }
 
 void World::orderEngine(SimHost &host, const OrderEngine &order)
 {
     const bool isSlow = this->slowOrdersUntil > this->now;
-    const Span delay = isSlow ? this->between(0.1, 6.0) : this->between(0.001, 0.02);
+    const Span delay = isSlow ? this->randomSpan(0.1, 6.0) : this->randomSpan(0.001, 0.02);
     const Instant notAfter = this->now + (order.notAfter - this->clockOf(host));
-    this->later(delay, [this, id = host.id, life = host.state.self.incarnation, order, notAfter] {
-        this->carryOutOrder(id, life, order, notAfter);
-    });
+    this->schedule(delay,
+                   [this, id = host.id, incarnation = host.state.self.incarnation, order,
+                    notAfter] { this->executeOrder(id, incarnation, order, notAfter); });
 }
 
-/// Whether the shell has closed the order's connection before it arrived. A stopped or replaced
-/// process closes nothing in time, but its bytes are on their way for orderFlight at most.
-bool World::givesUp(const HostId &id, Incarnation life, Instant notAfter)
+/// Whether the shell has closed the connection of an order before the order arrived. A paused or
+/// replaced process does not close it in time, but its bytes are in flight for at most orderFlight.
+bool World::isOrderTimedOut(const HostId &id, Incarnation incarnation, Instant notAfter)
 {
-    const SimHost &host = this->hostOf(id);
-    const bool isAwake = host.isUp && host.state.self.incarnation == life && !this->isPaused(host);
+    const SimHost &host = this->findHost(id);
+    const bool isAwake = host.isUp && host.state.self.incarnation == incarnation
+            && !this->isPaused(host);
     return this->now >= notAfter + (isAwake ? Span{} : orderFlight);
 }
 
-void World::carryOutOrder(const HostId &host, Incarnation life, const OrderEngine &order,
-                          Instant notAfter)
+void World::executeOrder(const HostId &host, Incarnation incarnation, const OrderEngine &order,
+                         Instant notAfter)
 {
-    Engine &engine = *this->engineOf(order.engine);
-    const bool isUnreachable = this->isCut(this->hostOf(host).zoneIndex, zoneIndexOf(engine.zone));
+    Engine &engine = *this->findEngine(order.engine);
+    const bool isUnreachable = this->isPartitioned(this->findHost(host).zoneIndex,
+                                                   zoneIndexOf(engine.zone));
     this->trace(fmt::format("{} gets from {}: {} {} fencing {}", engine.id.value, host.value,
                             order.isLoad ? "load" : "unload", order.adapter.value,
                             order.fencing.value));
     OrderEnded failed{ order.engine, order.adapter, order.isLoad, false, order.fencing, {} };
-    const bool isGivenUp = this->givesUp(host, life, notAfter);
-    const bool isFenced = !isUnreachable && !isGivenUp && engine.refusesFencing(order.fencing);
+    const bool isTimedOut = this->isOrderTimedOut(host, incarnation, notAfter);
+    const bool isFenced = !isUnreachable && !isTimedOut && engine.refusesFencing(order.fencing);
     if (isFenced)
-        failed.refusedBy = engine.highest;
-    if (isUnreachable || isGivenUp || isFenced) {
-        this->later(isUnreachable ? silence : Span{ 500 },
-                    [this, host, life, failed] { this->giveLife(host, life, failed); });
+        failed.refusedBy = engine.highestFencing;
+    if (isUnreachable || isTimedOut || isFenced) {
+        this->schedule(isUnreachable ? upstreamTimeout : Span{ 500 },
+                       [this, host, incarnation, failed] {
+                           this->deliverToIncarnation(host, incarnation, failed);
+                       });
         return;
     }
     OrderEnded done = failed;
     done.isDone = true;
     if (!order.isLoad) {
-        this->checks.noteUnload(engine.id, order.adapter, engine.isServing(order.adapter));
+        this->checks.recordUnload(engine.id, order.adapter, engine.isServing(order.adapter));
         engine.loaded.erase(order.adapter);
-        this->later(Span{ 500 }, [this, host, life, done] { this->giveLife(host, life, done); });
+        this->schedule(Span{ 500 }, [this, host, incarnation, done] {
+            this->deliverToIncarnation(host, incarnation, done);
+        });
         return;
     }
     const bool isFull = engine.loaded.size() + engine.loading >= engine.adapterSlots;
     if (engine.failsLoadsUntil > this->now || (isFull && !engine.loaded.contains(order.adapter))) {
-        this->later(Span{ 500 },
-                    [this, host, life, failed] { this->giveLife(host, life, failed); });
+        this->schedule(Span{ 500 }, [this, host, incarnation, failed] {
+            this->deliverToIncarnation(host, incarnation, failed);
+        });
         return;
     }
     ++engine.loading;
-    this->later(this->between(0.2, 0.5), [this, host, life, done, start = engine.start] {
-        Engine &loaded = *this->engineOf(done.engine);
-        OrderEnded ended = done;
-        ended.isDone = loaded.start == start;
-        if (ended.isDone) {
-            --loaded.loading;
-            loaded.loaded.insert(done.adapter);
-        }
-        this->giveLife(host, life, ended);
-    });
+    this->schedule(this->randomSpan(0.2, 0.5),
+                   [this, host, incarnation, done, start = engine.start] {
+                       Engine &loaded = *this->findEngine(done.engine);
+                       OrderEnded ended = done;
+                       ended.isDone = loaded.start == start;
+                       if (ended.isDone) {
+                           --loaded.loading;
+                           loaded.loaded.insert(done.adapter);
+                       }
+                       this->deliverToIncarnation(host, incarnation, ended);
+                   });
 }
 
-void World::askLoad(SimHost &host, const AskLoad &question)
+void World::queryLoad(SimHost &host, const AskLoad &query)
 {
-    const Engine &engine = *this->engineOf(question.engine);
+    const Engine &engine = *this->findEngine(query.engine);
     LoadReported report = engine.report();
-    report.askedAt = question.askedAt;
-    report.isReachable = !this->isCut(host.zoneIndex, zoneIndexOf(engine.zone));
-    // Reports lag: what was true at the question arrives later.
-    this->later(this->between(0.001, 0.4),
-                [this, id = host.id, life = host.state.self.incarnation, report] {
-                    this->giveLife(id, life, report);
-                });
+    report.askedAt = query.askedAt;
+    report.isReachable = !this->isPartitioned(host.zoneIndex, zoneIndexOf(engine.zone));
+    // Reports are delayed: they contain the state at the time of the query.
+    this->schedule(this->randomSpan(0.001, 0.4),
+                   [this, id = host.id, incarnation = host.state.self.incarnation, report] {
+                       this->deliverToIncarnation(id, incarnation, report);
+                   });
 }
 
-/// The traffic thread drops its connection; the engine hears of it a moment later.
+/// The traffic thread closes its connection; the host receives AttemptEnded 100 us later.
 void World::closeAttempt(SimHost &host, const CancelAttempt &order)
 {
-    CallerView &caller = this->checks.callers.at(order.request);
+    CallerRecord &caller = this->checks.callers.at(order.request);
     if (caller.host != host.id || !std::exchange(caller.isAttemptOpen, false) || caller.isEnded)
         return;
-    this->later(Span{ 100 }, [this, id = host.id, life = host.state.self.incarnation, caller] {
-        this->giveLife(id, life,
-                       AttemptEnded{ caller.asked.request, caller.attempt,
-                                     AttemptOutcome::Cancelled, Tokens{ caller.tokens },
-                                     caller.tokens > 0 });
-    });
+    this->schedule(Span{ 100 },
+                   [this, id = host.id, incarnation = host.state.self.incarnation, caller] {
+                       this->deliverToIncarnation(
+                               id, incarnation,
+                               AttemptEnded{ caller.request.request, caller.attempt,
+                                             AttemptOutcome::Cancelled, Tokens{ caller.tokens },
+                                             caller.tokens > 0 });
+                   });
 }
 
 void World::cancel(const CancelAttempt &order)
 {
-    if (Engine *engine = this->engineOf(order.upstream))
+    if (Engine *engine = this->findEngine(order.upstream))
         std::erase_if(engine->sequences, [&order](const Sequence &sequence) {
             return sequence.request == order.request;
         });
@@ -306,9 +323,9 @@
 
 void World::endAttempt(const Sequence &sequence, AttemptOutcome outcome, Span delay)
 {
-    this->later(delay, [this, sequence, outcome] {
-        SimHost &host = this->hostOf(sequence.host);
-        CallerView &caller = this->checks.callers.at(sequence.request);
+    this->schedule(delay, [this, sequence, outcome] {
+        SimHost &host = this->findHost(sequence.host);
+        CallerRecord &caller = this->checks.callers.at(sequence.request);
         if (!host.isUp || host.state.self.incarnation != sequence.incarnation || caller.isEnded
             || caller.attempt != sequence.attempt || !std::exchange(caller.isAttemptOpen, false))
             return;
@@ -316,9 +333,9 @@
             caller.isEnded = true;
             ++this->checks.completed;
         }
-        this->give(host,
-                   AttemptEnded{ sequence.request, sequence.attempt, outcome,
-                                 Tokens{ caller.tokens }, caller.tokens > 0 });
+        this->deliver(host,
+                      AttemptEnded{ sequence.request, sequence.attempt, outcome,
+                                    Tokens{ caller.tokens }, caller.tokens > 0 });
     });
 }
 
@@ -328,14 +345,15 @@
         std::vector<Sequence> kept;
         std::uint32_t running = 0;
         for (Sequence &sequence : engine.sequences) {
-            SimHost &host = this->hostOf(sequence.host);
-            CallerView &caller = this->checks.callers.at(sequence.request);
+            SimHost &host = this->findHost(sequence.host);
+            CallerRecord &caller = this->checks.callers.at(sequence.request);
             const bool isLife = host.isUp && host.state.self.incarnation == sequence.incarnation;
             if (!isLife || caller.attempt != sequence.attempt || caller.isEnded
                 || !caller.isAttemptOpen)
                 continue; // the connection is closed
-            if (this->isCut(host.zoneIndex, zoneIndexOf(engine.zone)) || this->chance(0.002)) {
-                this->endAttempt(sequence, AttemptOutcome::Silent, silence);
+            if (this->isPartitioned(host.zoneIndex, zoneIndexOf(engine.zone))
+                || this->chance(0.002)) {
+                this->endAttempt(sequence, AttemptOutcome::Silent, upstreamTimeout);
                 continue;
             }
             const bool isRunning = ++running <= engine.batchSlots;
@@ -343,16 +361,16 @@
                 kept.push_back(sequence);
                 continue;
             }
-            const bool isCrossed = this->options.sabotage == Sabotage::CrossAnswers
+            const bool isCrossed = this->options.injectedBug == InjectedBug::CrossAnswers
                     && engine.sequences.size() > 1;
             const Sequence &writer = isCrossed ? engine.sequences.back() : sequence;
-            this->checks.noteToken(sequence.request, writer.request, sequence.adapter,
-                                   sequence.place, this->now);
-            ++sequence.place;
-            this->give(
+            this->checks.recordToken(sequence.request, writer.request, sequence.adapter,
+                                     sequence.position, this->now);
+            ++sequence.position;
+            this->deliver(
                     host,
                     AttemptProgress{ sequence.request, sequence.attempt, Tokens{ caller.tokens } });
-            if (sequence.place >= sequence.most)
+            if (sequence.position >= sequence.maxTokens)
                 this->endAttempt(sequence, AttemptOutcome::Done, Span{ 0 });
             else
                 kept.push_back(sequence);
--- a/tests/random_faults/world.cpp
+++ b/tests/random_faults/world.cpp
@@ -19,7 +19,7 @@
         engine.checksFencing = index < zoneCount;
         this->engines.push_back(engine);
     }
-    this->publishFirst();
+    this->publishInitialTicket();
     for (int index = 0; index < chosen.hosts; ++index) {
         SimHost host;
         host.id = HostId{ "h" + std::to_string(index) };
@@ -36,25 +36,26 @@
     return std::uniform_real_distribution<double>(0, 1)(this->random) < probability;
 }
 
-Span World::between(double fromSecond, double toSecond)
+Span World::randomSpan(double fromSecond, double toSecond)
 {
     return fromSeconds(std::uniform_real_distribution<double>(fromSecond, toSecond)(this->random));
 }
 
-std::size_t World::pick(std::size_t count)
+std::size_t World::randomIndex(std::size_t count)
 {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(this->random);
 }
 
-void World::later(Span delay, std::function<void()> run)
+void World::schedule(Span delay, std::function<void()> run)
 {
-    this->timed.push(Timed{ this->now + delay, this->nextOrder++, std::move(run) });
+    this->scheduled.push(
+            ScheduledCallback{ this->now + delay, this->nextSequenceNumber++, std::move(run) });
 }
 
-bool World::isCut(int zoneA, int zoneB) const
+bool World::isPartitioned(int zoneA, int zoneB) const
 {
-    const auto found = this->cutUntil.find(std::minmax(zoneA, zoneB));
-    return found != this->cutUntil.end() && found->second > this->now;
+    const auto found = this->partitionedUntil.find(std::minmax(zoneA, zoneB));
+    return found != this->partitionedUntil.end() && found->second > this->now;
 }
 
 Instant World::clockOf(const SimHost &host) const
@@ -68,13 +69,13 @@
     return host.pausedUntil > this->now;
 }
 
-SimHost &World::hostOf(const HostId &id)
+SimHost &World::findHost(const HostId &id)
 {
     return *std::find_if(this->hosts.begin(), this->hosts.end(),
                          [&id](const SimHost &host) { return host.id == id; });
 }
 
-Engine *World::engineOf(const UpstreamId &id)
+Engine *World::findEngine(const UpstreamId &id)
 {
     const auto found = std::find_if(this->engines.begin(), this->engines.end(),
                                     [&id](const Engine &engine) { return engine.id == id; });
@@ -90,23 +91,23 @@
     self.peerAddress = host.id.value;
     self.incarnation = Incarnation{ 1000 * this->nextIncarnation++ };
     self.randomSeed = this->random();
-    this->trace(fmt::format("{} starts, life {}", host.id.value, self.incarnation.value));
+    this->trace(fmt::format("{} starts, incarnation {}", host.id.value, self.incarnation.value));
     host.state = makeHost(self, this->charts);
     host.isUp = true;
     host.isStopping = false;
     host.clockRate = 1 + (this->chance(0.5) ? 2e-4 : -2e-4);
-    host.clockZero = this->now - this->between(0, 1000);
+    host.clockZero = this->now - this->randomSpan(0, 1000);
     host.pausedUntil = {};
     host.connectedSince = this->now;
     host.inbox.clear();
     host.nextPlatformRead = this->now;
     host.nextListRead = this->now;
-    host.highestSeen = {};
+    host.highestTicket = {};
     host.leavingSince.clear();
-    host.firstState = {};
+    host.initialState = {};
 }
 
-void World::give(SimHost &host, const Event &event)
+void World::deliver(SimHost &host, const Event &event)
 {
     if (!host.isUp)
         return;
@@ -118,15 +119,15 @@
     std::vector<Action> actions;
     handle(host.state, event, this->clockOf(host), actions);
     for (const Action &action : actions)
-        this->carryOut(host, action);
+        this->execute(host, action);
     this->checkTickets(host);
 }
 
-void World::giveLife(const HostId &id, Incarnation incarnation, const Event &event)
+void World::deliverToIncarnation(const HostId &id, Incarnation incarnation, const Event &event)
 {
-    SimHost &host = this->hostOf(id);
+    SimHost &host = this->findHost(id);
     if (host.isUp && host.state.self.incarnation == incarnation)
-        this->give(host, event);
+        this->deliver(host, event);
 }
 
 void World::trace(const std::string &text) const
@@ -139,9 +140,9 @@
 void World::runStep()
 {
     const Instant until = this->now + stepLength;
-    while (!this->timed.empty() && this->timed.top().at <= until) {
-        const Timed next = this->timed.top();
-        this->timed.pop();
+    while (!this->scheduled.empty() && this->scheduled.top().at <= until) {
+        const ScheduledCallback next = this->scheduled.top();
+        this->scheduled.pop();
         this->now = next.at;
         next.run();
     }
@@ -149,25 +150,25 @@
     for (SimHost &host : this->hosts) {
         if (!host.isUp)
             continue;
-        if (this->isCut(host.zoneIndex, zoneCount) || this->isPaused(host))
+        if (this->isPartitioned(host.zoneIndex, zoneCount) || this->isPaused(host))
             host.connectedSince = this->now;
         if (this->isPaused(host))
             continue;
-        this->sabotageHost(host);
-        // A process that wakes may read its sockets before its timers, or after.
+        this->injectBug(host);
+        // A process that resumes may handle its timers before its sockets, or after.
         if (this->chance(0.5))
-            this->give(host, Tick{});
+            this->deliver(host, Tick{});
         std::deque<Event> waiting = std::exchange(host.inbox, {});
         for (const Event &event : waiting)
-            this->give(host, event);
+            this->deliver(host, event);
         this->readPlatform(host);
         this->readList(host);
-        this->give(host, Tick{});
+        this->deliver(host, Tick{});
     }
     this->makeTokens();
     this->sendRequests();
     if (this->options.hasFaults)
-        this->disturb();
+        this->injectFault();
 }
 
 std::optional<std::string> World::run()
--- a/tests/random_faults/world.h
+++ b/tests/random_faults/world.h
@@ -13,36 +13,36 @@
     std::uint64_t seed = 1;
     int hosts = 6;
     int steps = 600;
-    Sabotage sabotage = Sabotage::None;
+    InjectedBug injectedBug = InjectedBug::None;
     bool hasFaults = true;
     bool isTraced = false; ///< Prints faults, orders and dispatches.
 };
 
 inline constexpr int zoneCount = 3;
 inline constexpr Span stepLength = fromSeconds(0.05);
-/// "Within seconds": a connected host has to know what was published this long ago.
-inline constexpr Span promptly = fromSeconds(8);
+/// Maximum time until a connected host has applied what the platform published.
+inline constexpr Span propagationLimit = fromSeconds(8);
 
-/// One host process with the fake shell's memory of it.
+/// A host process with the state of its simulated shell.
 struct SimHost
 {
     HostId id;
     ZoneId zone;
     int zoneIndex = 0;
     HostState state;
-    StateInForce firstState; ///< For Sabotage::OlderTicket.
+    StateInForce initialState; ///< For InjectedBug::RevertToFirstTicket.
     bool isUp = false;
     double clockRate = 1;
-    Instant clockZero; ///< World time at which its clock read zero.
+    Instant clockZero; ///< Virtual time at which its clock was zero.
     Instant pausedUntil;
-    Instant connectedSince;  ///< No pause and no cut from the platform since then.
-    std::deque<Event> inbox; ///< What came while it was paused.
+    Instant connectedSince;  ///< Neither paused nor partitioned from the platform since then.
+    std::deque<Event> inbox; ///< Events that arrived while it was paused.
     Instant nextPlatformRead;
     Instant nextListRead;
-    HostId hiddenFromList; ///< A host that its list lacks for now.
+    HostId hiddenFromList; ///< Host that is missing from its host list until hiddenUntil.
     Instant hiddenUntil;
-    TicketNumber highestSeen;
-    std::map<UpstreamId, Instant> leavingSince; ///< By the list that it has read.
+    TicketNumber highestTicket;
+    std::map<UpstreamId, Instant> leavingSince; ///< According to the last host list that it read.
     bool isStopping = false;
     std::uint64_t requests = 0;
 };
@@ -62,76 +62,78 @@
     std::vector<Instant> publishedAt;
     std::map<KeyHash, CustomerId> keys;
     std::map<KeyHash, Instant> withdrawnAt;
-    std::set<UpstreamId> leavingUpstreams;           ///< By the platform's list.
-    std::map<std::pair<int, int>, Instant> cutUntil; ///< Zones; index zoneCount is the platform.
-    Instant messyUntil; ///< Messages are lost, doubled and reordered until then.
+    std::set<UpstreamId> leavingUpstreams; ///< According to the platform's host list.
+    /// By pair of zones; zoneCount is the platform.
+    std::map<std::pair<int, int>, Instant> partitionedUntil;
+    Instant unreliableUntil; ///< Until then messages are lost, duplicated and reordered.
     Instant slowOrdersUntil;
     Instant stalePlatformUntil;
     std::uint64_t nextIncarnation = 1;
 
-    struct Timed
+    struct ScheduledCallback
     {
         Instant at;
-        std::uint64_t order;
+        std::uint64_t sequenceNumber;
         std::function<void()> run;
-        bool operator<(const Timed &other) const
+        bool operator<(const ScheduledCallback &other) const
         {
-            return std::tie(other.at, other.order) < std::tie(this->at, this->order);
+            return std::tie(other.at, other.sequenceNumber)
+                    < std::tie(this->at, this->sequenceNumber);
         }
     };
-    std::priority_queue<Timed> timed;
-    std::uint64_t nextOrder = 0;
+    std::priority_queue<ScheduledCallback> scheduled;
+    std::uint64_t nextSequenceNumber = 0;
 
     // world.cpp
     explicit World(const Options &chosen);
     bool chance(double probability);
-    Span between(double fromSecond, double toSecond);
-    std::size_t pick(std::size_t count);
-    void later(Span delay, std::function<void()> run);
-    bool isCut(int zoneA, int zoneB) const;
+    Span randomSpan(double fromSecond, double toSecond);
+    std::size_t randomIndex(std::size_t count);
+    void schedule(Span delay, std::function<void()> run);
+    bool isPartitioned(int zoneA, int zoneB) const;
     Instant clockOf(const SimHost &host) const;
     bool isPaused(const SimHost &host) const;
-    SimHost &hostOf(const HostId &id);
-    Engine *engineOf(const UpstreamId &id);
+    SimHost &findHost(const HostId &id);
+    Engine *findEngine(const UpstreamId &id);
     void startHost(SimHost &host);
-    void give(SimHost &host, const Event &event);
-    /// Gives \a event to the life \a incarnation of a host, if that still runs.
-    void giveLife(const HostId &id, Incarnation incarnation, const Event &event);
+    void deliver(SimHost &host, const Event &event);
+    /// Delivers \a event if \a incarnation of the host is still running.
+    void deliverToIncarnation(const HostId &id, Incarnation incarnation, const Event &event);
     void trace(const std::string &text) const;
     void runStep();
-    /// Runs all steps. The first failure with its step, or nothing.
+    /// Runs all steps. The first failure with its step; nullopt if no check failed.
     std::optional<std::string> run();
 
-    // shell.cpp: what the hosts order.
-    void carryOut(SimHost &host, const Action &action);
+    // shell.cpp: executes the actions of the hosts.
+    void execute(SimHost &host, const Action &action);
     void sendPeer(SimHost &host, const SendPeer &message);
     void dispatch(SimHost &host, const Dispatch &order);
-    void send(const HostId &id, Incarnation life, const Dispatch &order);
-    void arrive(const HostId &host, Incarnation life, const Dispatch &order);
-    void runService(const HostId &host, Incarnation life, const Dispatch &order);
+    void send(const HostId &id, Incarnation incarnation, const Dispatch &order);
+    void arrive(const HostId &host, Incarnation incarnation, const Dispatch &order);
+    void runService(const HostId &host, Incarnation incarnation, const Dispatch &order);
     void orderEngine(SimHost &host, const OrderEngine &order);
-    void carryOutOrder(const HostId &host, Incarnation life, const OrderEngine &order,
-                       Instant notAfter);
-    bool givesUp(const HostId &id, Incarnation life, Instant notAfter);
+    void executeOrder(const HostId &host, Incarnation incarnation, const OrderEngine &order,
+                      Instant notAfter);
+    bool isOrderTimedOut(const HostId &id, Incarnation incarnation, Instant notAfter);
     void closeAttempt(SimHost &host, const CancelAttempt &order);
-    void askLoad(SimHost &host, const AskLoad &question);
+    void queryLoad(SimHost &host, const AskLoad &query);
     void cancel(const CancelAttempt &order);
-    void checkDispatch(SimHost &host, const Dispatch &order, const CallerView &caller);
+    void checkDispatch(SimHost &host, const Dispatch &order, const CallerRecord &caller);
     void makeTokens();
     void endAttempt(const Sequence &sequence, AttemptOutcome outcome, Span delay);
 
     // platform.cpp: tickets, lists, callers.
     void publish(const std::string &text);
-    void publishFirst();
+    void publishInitialTicket();
     void publishChange();
     void readPlatform(SimHost &host);
     void readList(SimHost &host);
     void checkTickets(SimHost &host);
     void sendRequests();
 
-    // disturb.cpp
-    void disturb();
-    void sabotageHost(SimHost &host);
+    // disturb.cpp: faults and injected bugs.
+    void injectFault();
+    void injectBug(SimHost &host);
 };
 
 } // namespace azurewell::faults
