--- a/tests/gateway_world/gateway_world_test.cpp
+++ b/tests/gateway_world/gateway_world_test.cpp
@@ -7,7 +7,7 @@
 namespace azurewell::gateway {
 namespace {
 
-std::string firstOf(const World &world)
+std::string firstViolation(const World &world)
 {
     if (world.violations.empty())
         return {};
@@ -16,76 +16,75 @@
             + " s: " + first.what;
 }
 
-double quantile(std::vector<double> values, double part)
+double quantile(std::vector<double> values, double fraction)
 {
     if (values.empty())
         return 0;
     std::sort(values.begin(), values.end());
-    return values[static_cast<std::size_t>(part * static_cast<double>(values.size() - 1))];
+    return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
 }
 
-/// The most tokens that started to run within any 8 s.
-double mostTokensInWindow(const World &world)
+/// The maximum number of tokens of requests that started within any 8 s.
+double maxTokensInWindow(const World &world)
 {
-    double most = 0;
+    double maximum = 0;
     double sum = 0;
     auto from = world.admittedTokens.begin();
     for (const auto &[at, tokens] : world.admittedTokens) {
         sum += tokens;
         for (; at - from->first >= std::chrono::seconds(8); ++from)
             sum -= from->second;
-        most = std::max(most, sum);
+        maximum = std::max(maximum, sum);
     }
-    return most;
+    return maximum;
 }
 
 TEST(GatewayWorld, ACalmFleetServesRareAdaptersInTime)
 {
-    // Callers ask for 300 adapters of which a few are popular, and nine engines have five places
-    // each. A fleet that loads too slowly, or evicts what is about to be used, starts requests
-    // late.
+    // Callers request 300 adapters, of which a few are popular, from nine engines with five adapter
+    // slots each. Slow loads, or evictions of adapters that are about to be used, delay the start
+    // of requests.
     World world{ WorldSettings{} };
     world.runFor(std::chrono::seconds(40));
-    EXPECT_EQ(firstOf(world), "");
+    EXPECT_EQ(firstViolation(world), "");
     EXPECT_GT(world.answered, world.asked * 93 / 100);
-    EXPECT_LT(quantile(world.startSeconds, 0.95), 0.75);
-    EXPECT_LT(world.unloadsInUse, world.unloads * 3 / 100);
+    EXPECT_LT(quantile(world.startDelaySeconds, 0.95), 0.75);
+    EXPECT_LT(world.unloadsWhileInUse, world.unloads * 3 / 100);
 }
 
-TEST(GatewayWorld, RequestsStartWhenTheirLoadIsOverAndNotWhenAReportShowsIt)
+TEST(GatewayWorld, RequestsStartWhenTheirLoadCompletesWithoutWaitingForAReport)
 {
-    // Engines report what they hold with a delay of 200 ms, nearly as long as a load takes. Hosts
-    // that wait for a report start requests for rare adapters 300 ms later than they could, half of
-    // the time that callers take for prompt.
+    // Engines report their loaded adapters with a delay of 200 ms, nearly as long as a load takes.
+    // Hosts that wait for a report start requests for rare adapters 300 ms late, half of the
+    // latency that callers accept.
     WorldSettings settings;
     settings.reportLag = std::chrono::milliseconds(200);
     World world{ settings };
     world.runFor(std::chrono::seconds(40));
-    EXPECT_EQ(firstOf(world), "");
+    EXPECT_EQ(firstViolation(world), "");
     EXPECT_GT(world.answered, world.asked * 95 / 100);
-    EXPECT_LT(quantile(world.startSeconds, 0.9), 0.36);
-    EXPECT_LT(world.turnedAway, world.loads / 6);
+    EXPECT_LT(quantile(world.startDelaySeconds, 0.9), 0.36);
+    EXPECT_LT(world.rejectedNotReady, world.loads / 6);
 }
 
-TEST(GatewayWorld, MoreLoadsThanTheStoreBringsAreRefusedEarlyAndTheRestServed)
+TEST(GatewayWorld, LoadsBeyondTheCapacityOfTheWeightStoreAreRejectedEarlyAndTheRestServed)
 {
-    // More than four times as many requests as in calm times. Loads that queue without a bound
-    // would each come after their request was given up, and nobody with a rare adapter would be
-    // served.
+    // More than four times the normal request rate. With an unbounded load queue each load would
+    // complete after its request has timed out, and no request for a rare adapter would be served.
     WorldSettings settings;
     settings.requestsPerSecond = 180;
     World world{ settings };
     world.runFor(std::chrono::seconds(30));
-    EXPECT_EQ(firstOf(world), "");
+    EXPECT_EQ(firstViolation(world), "");
     EXPECT_GT(world.answered, world.asked * 60 / 100);
-    EXPECT_LT(quantile(world.startSeconds, 0.95), 1.2);
+    EXPECT_LT(quantile(world.startDelaySeconds, 0.95), 1.2);
 }
 
 TEST(GatewayWorld, ACustomerStaysWithinItsLimitOverAllHosts)
 {
     // One customer sends four times its rate through all hosts, and two hosts are replaced
-    // meanwhile. A limit that each host kept for itself would let through six times as much, and a
-    // new host that began with a full burst would hand out once more what was used already.
+    // meanwhile. Independent limits of each host would admit six times the rate, and a new host
+    // that started with a full burst would admit tokens that were already used.
     WorldSettings settings;
     settings.tokenRate = 30000;
     World world{ settings };
@@ -97,65 +96,65 @@
     world.runFor(std::chrono::seconds(2));
     world.startHost(3, false);
     world.runFor(std::chrono::seconds(15));
-    EXPECT_EQ(firstOf(world), "");
-    const double room = settings.tokenRate * 9;
-    const double most = mostTokensInWindow(world);
-    EXPECT_LE(most, room * 1.02);
-    EXPECT_GT(most, room * 0.8);
+    EXPECT_EQ(firstViolation(world), "");
+    const double limit = settings.tokenRate * 9;
+    const double admitted = maxTokensInWindow(world);
+    EXPECT_LE(admitted, limit * 1.02);
+    EXPECT_GT(admitted, limit * 0.8);
 }
 
-TEST(GatewayWorld, EnginesThatStartEmptyGetTheirModelAgain)
+TEST(GatewayWorld, EnginesThatRestartWithoutTheirBaseModelLoadItAgain)
 {
-    // Three engines crash and come back without their base model. Until somebody orders it they
-    // serve nothing, and their adapters are gone.
+    // Three engines crash and come back without base model and adapters. They serve nothing until a
+    // host orders the load of the base model.
     World world{ WorldSettings{} };
     world.runFor(std::chrono::seconds(10));
     for (std::size_t engine = 0; engine < 3; ++engine)
         world.restartEngine(engine);
     world.runFor(std::chrono::seconds(10));
     const std::uint64_t answered = world.answered;
-    const std::uint64_t asked = world.asked;
+    const std::uint64_t sentBefore = world.asked;
     world.runFor(std::chrono::seconds(10));
-    EXPECT_EQ(firstOf(world), "");
-    EXPECT_GT(world.answered - answered, (world.asked - asked) * 93 / 100);
+    EXPECT_EQ(firstViolation(world), "");
+    EXPECT_GT(world.answered - answered, (world.asked - sentBefore) * 93 / 100);
 }
 
-// Guards against an empty engine that serves nothing for as long as a load may take because the
-// order of its model was lost.
-TEST(GatewayWorld, AnEmptyEngineGetsItsModelInTimeWhenTheFirstOrderIsLost)
+// Guards against a restarted engine that serves nothing for the whole load timeout because the
+// order to load its base model was lost.
+TEST(GatewayWorld, ABaseModelIsLoadedInTimeWhenTheFirstOrderIsLost)
 {
     constexpr std::size_t restarted = 3;
-    constexpr Span servesAgainWithin = std::chrono::seconds(12);
+    constexpr Span recoveryTimeout = std::chrono::seconds(12);
     WorldSettings settings;
     settings.lostBaseOrders = restarted;
     World world{ settings };
     world.runFor(std::chrono::seconds(10));
     for (std::size_t engine = 0; engine < restarted; ++engine)
         world.restartEngine(engine);
-    world.runFor(servesAgainWithin);
-    EXPECT_EQ(firstOf(world), "");
+    world.runFor(recoveryTimeout);
+    EXPECT_EQ(firstViolation(world), "");
     for (std::size_t engine = 0; engine < restarted; ++engine)
         EXPECT_TRUE(world.holdsBase(engine));
 }
 
-TEST(GatewayWorld, AnOrderThatIsHeldUpDoesNotOverfillItsEngine)
+TEST(GatewayWorld, ADelayedOrderDoesNotOverfillItsEngine)
 {
-    // An order to load waits for its connection to open while reports come over another one and do
-    // not show the load yet. Taken for failed, its place is given to a second adapter; the engine
-    // is then ordered to hold six adapters in five places, crashes, and breaks off all that it
-    // runs.
+    // A load order waits for its connection to open, while reports over another connection do not
+    // show the load yet. If the load is considered failed, its slot is assigned to a second
+    // adapter; the engine is then ordered to hold six adapters in five slots, crashes, and
+    // interrupts all its requests.
     WorldSettings settings;
-    settings.slowOrders = 0.1;
+    settings.slowOrderFraction = 0.1;
     World world{ settings };
     world.runFor(std::chrono::seconds(40));
-    EXPECT_EQ(firstOf(world), "");
+    EXPECT_EQ(firstViolation(world), "");
     EXPECT_GT(world.answered, world.asked * 88 / 100);
 }
 
-TEST(GatewayWorld, ASmallFleetTalksLittle)
+TEST(GatewayWorld, ControlTrafficOfASmallFleetIsBounded)
 {
-    // Nine hosts that name all others to each other in each heartbeat send 5 KB a second each for
-    // that alone, two thirds of it between zones, where every byte is paid for. Control may take
+    // Nine hosts that list all other hosts in each heartbeat send 5 KB a second each for that
+    // alone, two thirds of it between zones, where traffic is billed. Control traffic may take
     // 25 KB a second of a host, sent and received together.
     WorldSettings settings;
     settings.hostsPerZone = 3;
@@ -165,23 +164,23 @@
     const std::uint64_t bytes = world.messageBytes;
     constexpr int seconds = 10;
     world.runFor(std::chrono::seconds(seconds));
-    EXPECT_EQ(firstOf(world), "");
+    EXPECT_EQ(firstViolation(world), "");
     EXPECT_LT((world.messageBytes - bytes) / (world.hostCount() * seconds), 12'500U);
 }
 
-TEST(GatewayWorld, FaultsOfEnginesDoNotMakeALoadCountAsDone)
+TEST(GatewayWorld, EngineFaultsDoNotMakeALoadCountAsComplete)
 {
-    // Engines fail half of their requests at once, also one that was sent for an adapter that they
-    // still load. A host that takes the load for done has the adapter unloaded for another one; the
-    // engine, which still loads it, is then ordered to hold more than it can, crashes, and breaks
-    // off all that it runs.
+    // Engines fail half of their requests at once, including requests for an adapter that is still
+    // loading. A host that considers such a load complete evicts the adapter for another one; the
+    // engine, which is still loading it, then exceeds its slots, crashes, and interrupts all its
+    // requests.
     WorldSettings settings;
-    settings.faults = 0.45;
+    settings.faultFraction = 0.45;
     settings.requestsPerSecond = 90;
     for (settings.seed = 1; settings.seed <= 6; ++settings.seed) {
         World world{ settings };
         world.runFor(std::chrono::seconds(40));
-        EXPECT_EQ(firstOf(world), "");
+        EXPECT_EQ(firstViolation(world), "");
     }
 }
 
@@ -197,7 +196,7 @@
     return settings;
 }
 
-/// 72 hosts before a customer that uses 1 / 1.8 of its rate.
+/// 72 hosts with a customer that uses 1 / 1.8 of its rate.
 WorldSettings limitedFleet()
 {
     WorldSettings settings = largeFleet();
@@ -208,11 +207,11 @@
     return settings;
 }
 
-TEST(GatewayWorld, ALargeFleetTalksLittle)
+TEST(GatewayWorld, ControlTrafficOfALargeFleetIsBounded)
 {
-    // Hosts of a large fleet that write to each other as often as those of a small one, or that
-    // take each other for silent between two heartbeats and ask every engine for themselves, spend
-    // their whole time on that and serve nobody.
+    // Hosts of a large fleet that send messages as often as those of a small one, or that suspect
+    // each other between two heartbeats and each poll every engine, use all their processor time
+    // for it and serve no requests.
     WorldSettings settings = largeFleet();
     settings.countsBytes = true;
     World world{ settings };
@@ -222,13 +221,13 @@
     const std::uint64_t reports = world.reports;
     constexpr int seconds = 6;
     world.runFor(std::chrono::seconds(seconds));
-    EXPECT_EQ(firstOf(world), "");
+    EXPECT_EQ(firstViolation(world), "");
     const std::uint64_t hostSeconds = world.hostCount() * seconds;
     EXPECT_LT((world.messages - messages) / hostSeconds, 280U);
     EXPECT_LT((world.messageBytes - bytes) / hostSeconds, 45'000U);
     EXPECT_LT((world.reports - reports) / (world.engineCount() * seconds), 12U);
     EXPECT_GT(world.answered, world.asked * 80 / 100);
-    EXPECT_LT(world.unloadsInUse, world.unloads * 3 / 100);
+    EXPECT_LT(world.unloadsWhileInUse, world.unloads * 3 / 100);
     for (std::size_t host = 0; host < world.hostCount(); ++host) {
         EXPECT_EQ(countHeard(world.hostState(host).members, world.now), world.hostCount() - 1);
     }
@@ -241,25 +240,25 @@
 
 TEST(GatewayWorld, ACustomerOfALargeFleetStaysWithinItsLimitWhenItSuddenlySendsMore)
 {
-    // A customer that uses half of its rate sends six times as much from one moment to the next,
-    // through 72 hosts of which each sees a small part. Each believes for a while that there is
-    // room, and together they admit more than the customer may have.
+    // A customer that uses half of its rate suddenly sends six times as much through 72 hosts, of
+    // which each receives a small part. Until the hosts have exchanged their usage, each sees
+    // unused capacity, and together they could exceed the limit.
     const WorldSettings settings = limitedFleet();
     World world{ settings };
     world.runFor(std::chrono::seconds(14));
     world.setRequestRate(settings.requestsPerSecond * 6);
     world.runFor(std::chrono::seconds(9));
-    EXPECT_EQ(firstOf(world), "");
-    const double room = settings.tokenRate * 9;
-    EXPECT_LE(mostTokensInWindow(world), room);
-    EXPECT_GT(mostTokensInWindow(world), room * 0.7);
+    EXPECT_EQ(firstViolation(world), "");
+    const double limit = settings.tokenRate * 9;
+    EXPECT_LE(maxTokensInWindow(world), limit);
+    EXPECT_GT(maxTokensInWindow(world), limit * 0.7);
 }
 
-TEST(GatewayWorld, ACustomerOfALargeFleetStaysWithinItsLimitWhenAllHostsStartAnew)
+TEST(GatewayWorld, ACustomerOfALargeFleetStaysWithinItsLimitWhenAllHostsRestart)
 {
-    // All hosts are killed while a customer sends five times its rate, and start again a second
-    // later without any memory of what was admitted. Until they have told each other, each of them
-    // believes that nobody has admitted anything since.
+    // All hosts are killed while a customer sends five times its rate, and restart a second later
+    // without a record of what was admitted. Until they have exchanged updates, each of them sees
+    // no usage by the others.
     const WorldSettings settings = limitedFleet();
     World world{ settings };
     world.runFor(std::chrono::seconds(14));
@@ -271,11 +270,11 @@
     for (std::size_t host = 0; host < world.hostCount(); ++host)
         world.startHost(host, false);
     world.runFor(std::chrono::seconds(8));
-    EXPECT_EQ(firstOf(world), "");
-    EXPECT_LE(mostTokensInWindow(world), settings.tokenRate * 9);
+    EXPECT_EQ(firstViolation(world), "");
+    EXPECT_LE(maxTokensInWindow(world), settings.tokenRate * 9);
 }
 
-/// The hosts that any host asks to relay in \a zone.
+/// The hosts that any host would choose as its relay in \a zone.
 std::set<std::size_t> relaysOf(const World &world, const ZoneId &zone)
 {
     std::set<std::size_t> relays;
@@ -288,22 +287,22 @@
     return relays;
 }
 
-// Load pattern: more rare adapters than places. What was loaded for a waiting request looks idle
-// and rare, is evicted before the request hears of it, and is loaded again.
-TEST(GatewayWorld, ALoadIsKeptUntilTheRequestsThatAskedForItCanUseIt)
+// Guards against repeated loads with more rare adapters than slots: an adapter that was loaded for
+// a queued request looks idle and rare, is evicted before the request starts, and is loaded again.
+TEST(GatewayWorld, ALoadedAdapterIsKeptUntilTheRequestsThatWaitForItStart)
 {
     WorldSettings settings = largeFleet();
     settings.adapters = 24000;
     settings.requestsPerSecond = 1000;
     World world{ settings };
     world.runFor(std::chrono::seconds(14));
-    EXPECT_EQ(firstOf(world), "");
+    EXPECT_EQ(firstViolation(world), "");
     EXPECT_LT(world.loads, world.answered * 27 / 100);
     EXPECT_GT(world.answered, world.asked * 70 / 100);
 }
 
-// Hosts whose relay has just died believe that nobody else admits anything.
-TEST(GatewayWorld, ACustomerOfALargeFleetStaysWithinItsLimitWhenTheRelaysOfAZoneDie)
+// Guards against hosts that see no usage by other zones because their relay has just failed.
+TEST(GatewayWorld, ACustomerOfALargeFleetStaysWithinItsLimitWhenTheRelaysOfAZoneFail)
 {
     const WorldSettings settings = limitedFleet();
     World world{ settings };
@@ -312,12 +311,12 @@
         world.killHost(relay);
     world.setRequestRate(settings.requestsPerSecond * 6);
     world.runFor(std::chrono::seconds(9));
-    EXPECT_EQ(firstOf(world), "");
-    EXPECT_LE(mostTokensInWindow(world), settings.tokenRate * 9);
+    EXPECT_EQ(firstViolation(world), "");
+    EXPECT_LE(maxTokensInWindow(world), settings.tokenRate * 9);
 }
 
-// Each piece of news crosses between the zones once for each host that hears it.
-TEST(GatewayWorld, NewsOfALargeFleetCrossBetweenZonesOnce)
+// Guards against updates that cross between zones once for each receiving host.
+TEST(GatewayWorld, UpdatesOfALargeFleetCrossBetweenZonesOnce)
 {
     WorldSettings settings = largeFleet();
     settings.countsBytes = true;
@@ -329,12 +328,12 @@
     std::uint64_t bytes = 0;
     for (const auto &[kind, byZone] : world.sentByKind)
         bytes += byZone.elsewhere.bytes - before.at(kind).elsewhere.bytes;
-    EXPECT_EQ(firstOf(world), "");
+    EXPECT_EQ(firstViolation(world), "");
     EXPECT_LT(bytes / (world.hostCount() * seconds), 8'000U);
 }
 
-/// Kills, pauses and cuts hosts and restarts engines, in series that overlap.
-void playFaults(World &world, std::uint64_t seed, int rounds)
+/// Kills, pauses and partitions hosts and restarts engines, in overlapping series.
+void injectFaults(World &world, std::uint64_t seed, int rounds)
 {
     std::mt19937_64 random(seed);
     world.runFor(std::chrono::seconds(8));
@@ -349,9 +348,9 @@
         } else if (kind == 1) {
             world.pauseHost(host, length);
         } else if (kind == 2) {
-            world.cutHost(host, true);
+            world.partitionHost(host, true);
             world.runFor(length);
-            world.cutHost(host, false);
+            world.partitionHost(host, false);
         } else {
             world.restartEngine(random() % world.engineCount());
         }
@@ -359,38 +358,39 @@
     }
 }
 
-TEST_P(FaultSeeds, NoTwoHostsOrderAtOneEngine)
+TEST_P(FaultSeeds, OnlyOneHostOrdersLoadsAtAnEngine)
 {
-    // Hosts are killed, paused past their rights, cut off from all others while they still reach
-    // every engine, and started again, in series that overlap. Two hosts that order at one engine
-    // within the lease evict each other's adapters under running requests.
+    // Hosts are killed, paused beyond the end of their leases, partitioned from all others while
+    // they still reach every engine, and restarted, in overlapping series. Two hosts that send
+    // orders to one engine within the lease evict each other's adapters under running requests.
     WorldSettings settings;
     settings.seed = GetParam();
     World world{ settings };
     constexpr int rounds = 8;
-    playFaults(world, GetParam(), rounds);
-    EXPECT_EQ(firstOf(world), "");
+    injectFaults(world, GetParam(), rounds);
+    EXPECT_EQ(firstViolation(world), "");
     EXPECT_GT(world.answered, world.asked / 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FaultSeeds, testing::Range<std::uint64_t>(1, 13));
 
-// Seeds that once showed two hosts at one engine: a host that had been paused, one that came back
-// from a cut and went on with its right, one that took over before the other had noticed the cut,
-// and an engine whose restart looked like the first start of the whole system.
+// Seeds that found two hosts sending orders to one engine: a host that had been paused, one that
+// kept coordinating after a partition ended, one that took over before the other had detected the
+// partition, and an engine whose restart looked like the first start of the whole system.
 INSTANTIATE_TEST_SUITE_P(Found, FaultSeeds,
                          testing::Values(29, 30, 35, 37, 39, 44, 53, 67, 74, 91, 97, 105, 119, 124,
                                          147, 160, 253));
 
-/// The same in a fleet whose heartbeats come less often.
+/// Faults in a fleet whose heartbeats are less frequent.
 class LargeFaultSeeds : public testing::TestWithParam<std::uint64_t>
 {
 };
 
-TEST_P(LargeFaultSeeds, NoTwoHostsOrderAtOneEngine)
+TEST_P(LargeFaultSeeds, OnlyOneHostOrdersLoadsAtAnEngine)
 {
-    // Twenty hosts of each zone hear each other only every half second and notice a silence after
-    // two. Several at a time are cut off, which still reach every engine, while others take over.
+    // Each host exchanges heartbeats with twenty others of its zone only every half second and
+    // suspects one after two seconds. Several at a time are partitioned but still reach every
+    // engine, while others take over.
     WorldSettings settings;
     settings.seed = GetParam();
     settings.hostsPerZone = 21;
@@ -412,18 +412,18 @@
             else if (kind == 1)
                 world.pauseHost(host, length);
             else
-                world.cutHost(host, true);
+                world.partitionHost(host, true);
         }
         world.runFor(length);
         for (std::size_t index = 0; index < count; ++index) {
             const std::size_t host = (first + index * 3) % world.hostCount();
             if (kind == 0)
                 world.startHost(host, false);
-            world.cutHost(host, false);
+            world.partitionHost(host, false);
         }
         world.runFor(std::chrono::milliseconds(random() % 5000));
     }
-    EXPECT_EQ(firstOf(world), "");
+    EXPECT_EQ(firstViolation(world), "");
     EXPECT_GT(world.answered, world.asked / 2);
 }
 
--- a/tests/gateway_world/query_of_death_test.cpp
+++ b/tests/gateway_world/query_of_death_test.cpp
@@ -5,22 +5,22 @@
 namespace azurewell::gateway {
 namespace {
 
-constexpr std::size_t endsTolerated = 3;
+constexpr std::size_t maxCrashes = 3;
 
-void expectStopped(const World &world)
+void expectNoFurtherDispatch(const World &world)
 {
     EXPECT_TRUE(world.violations.empty());
-    for (const auto &[content, request] : world.deadly) {
-        EXPECT_LE(request.ended.size(), endsTolerated + request.runningAtThird);
-        EXPECT_EQ(request.sentAfterThird, 0U);
+    for (const auto &[content, request] : world.crashingRequests) {
+        EXPECT_LE(request.crashedEngines.size(), maxCrashes + request.runningAtThirdCrash);
+        EXPECT_EQ(request.sentAfterThirdCrash, 0U);
     }
 }
 
-/// The users' rule: three more sends, whoever knows of the three ends.
-void expectWithinRule(const World &world)
+/// The required bound: three more sends after the third crash, whichever hosts know of the crashes.
+void expectWithinBound(const World &world)
 {
-    for (const auto &[content, request] : world.deadly)
-        EXPECT_LE(request.sentAfterThird, endsTolerated);
+    for (const auto &[content, request] : world.crashingRequests)
+        EXPECT_LE(request.sentAfterThirdCrash, maxCrashes);
 }
 
 /// 195 hosts and 120 engines in five zones.
@@ -36,40 +36,40 @@
     return settings;
 }
 
-// Guards against a request that ends each engine that runs it being handed to one after the other.
-TEST(QueryOfDeath, IsNotSentOnAfterThreeEnginesOfASmallFleetEnded)
+// Guards against a request that crashes each engine being dispatched to one engine after the other.
+TEST(QueryOfDeath, IsNotDispatchedAfterThreeEnginesOfASmallFleetCrashed)
 {
     WorldSettings settings;
-    settings.deadlyRequests = 1;
+    settings.crashingRequestCount = 1;
     World world{ settings };
     world.runFor(std::chrono::seconds(60));
-    expectStopped(world);
+    expectNoFurtherDispatch(world);
 }
 
-// The same where the hosts are many, and each sees the request once.
-TEST(QueryOfDeath, IsNotSentOnAfterThreeEnginesOfALargeFleetEnded)
+// Guards against the same failure where each of many hosts receives the request only once.
+TEST(QueryOfDeath, IsNotDispatchedAfterThreeEnginesOfALargeFleetCrashed)
 {
     WorldSettings settings = largeFleet();
-    settings.deadlyRequests = 1;
+    settings.crashingRequestCount = 1;
     World world{ settings };
     world.runFor(std::chrono::seconds(20));
-    expectStopped(world);
+    expectNoFurtherDispatch(world);
 }
 
-std::uint64_t quarantined(const World &world)
+std::uint64_t quarantinedRequests(const World &world)
 {
     const auto found = world.refusals.find(ResultCode::RequestQuarantined);
     return found == world.refusals.end() ? 0 : found->second;
 }
 
-// Guards against hosts that start anew, or wake, without knowing what the others know.
-TEST(QueryOfDeath, IsNotSentOnByHostsThatWereReplacedOrPaused)
+// Guards against hosts that restart or resume without the crashes recorded by the others.
+TEST(QueryOfDeath, IsNotDispatchedByHostsThatWereReplacedOrPaused)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         WorldSettings settings;
         settings.seed = seed;
-        settings.deadlyRequests = 1;
-        settings.deadlyEvery = std::chrono::milliseconds(200);
+        settings.crashingRequestCount = 1;
+        settings.crashingRequestInterval = std::chrono::milliseconds(200);
         World world{ settings };
         world.runFor(std::chrono::seconds(14));
         for (std::size_t host = 0; host < world.hostCount(); ++host) {
@@ -79,31 +79,32 @@
             world.startHost(host, false);
             world.runFor(std::chrono::milliseconds(3500));
         }
-        // What a host that dies knew of an end is lost with it.
-        expectWithinRule(world);
+        // A crash that only a killed host has recorded is lost.
+        expectWithinBound(world);
     }
 }
 
-// Guards against a host behind a cut that sends it on without a bound, and against one that forgets
-// when the cut is over. Each side may need three ends to know.
-TEST(QueryOfDeath, IsSentOnAtMostThreeTimesMoreBehindACut)
+// Guards against a partitioned host that dispatches it without a bound, and against one that
+// discards its records when the partition ends. Each side may need three crashes to detect the
+// request.
+TEST(QueryOfDeath, IsDispatchedAtMostThreeMoreTimesDuringAPartition)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         WorldSettings settings;
         settings.seed = seed;
-        settings.deadlyRequests = 1;
-        settings.deadlyEvery = std::chrono::milliseconds(200);
+        settings.crashingRequestCount = 1;
+        settings.crashingRequestInterval = std::chrono::milliseconds(200);
         World world{ settings };
         world.runFor(std::chrono::seconds(7));
-        world.cutHost(0, true);
+        world.partitionHost(0, true);
         world.runFor(std::chrono::seconds(20));
-        world.cutHost(0, false);
+        world.partitionHost(0, false);
         world.runFor(std::chrono::seconds(20));
-        expectWithinRule(world);
+        expectWithinBound(world);
     }
 }
 
-/// Two engines end every four seconds, for no reason that lies in a request.
+/// Two engines crash every four seconds, independently of any request.
 void crashInTurn(World &world)
 {
     world.runFor(std::chrono::seconds(10));
@@ -114,51 +115,51 @@
     }
 }
 
-// Guards against requests that are refused because engines ended under them by chance.
-TEST(QueryOfDeath, IsNotSeenInRequestsUnderWhichEnginesEndByChance)
+// Guards against requests that are refused because their engines crashed for unrelated reasons.
+TEST(QueryOfDeath, IsNotDetectedWhenEnginesCrashForUnrelatedReasons)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         WorldSettings settings;
         settings.seed = seed;
-        settings.mostSends = 4;
+        settings.maxSends = 4;
         World world{ settings };
         crashInTurn(world);
-        EXPECT_GT(world.cutOff, 15U);
-        EXPECT_EQ(quarantined(world), 0U);
+        EXPECT_GT(world.interrupted, 15U);
+        EXPECT_EQ(quarantinedRequests(world), 0U);
     }
 }
 
-// Guards against requests that are refused because they ran beside one, again and again: most that
-// are cut off and repeated by their callers are served.
-TEST(QueryOfDeath, IsHardlyEverSeenInRequestsThatRanBesideOne)
+// Guards against requests that are refused because they repeatedly ran beside a query of death:
+// most that are interrupted and repeated by their callers must be served.
+TEST(QueryOfDeath, IsRarelyDetectedInRequestsThatRanBesideOne)
 {
-    std::uint64_t cutOff = 0;
+    std::uint64_t interrupted = 0;
     std::uint64_t wronglyRefused = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         WorldSettings settings;
         settings.seed = seed;
-        settings.mostSends = 4;
-        settings.deadlyRequests = 3;
+        settings.maxSends = 4;
+        settings.crashingRequestCount = 3;
         World world{ settings };
         crashInTurn(world);
-        expectStopped(world);
-        cutOff += world.cutOff;
-        wronglyRefused += quarantined(world);
+        expectNoFurtherDispatch(world);
+        interrupted += world.interrupted;
+        wronglyRefused += quarantinedRequests(world);
     }
-    EXPECT_LE(wronglyRefused, cutOff / 50);
+    EXPECT_LE(wronglyRefused, interrupted / 50);
 }
 
-// Guards against a fleet that loses all its engines to many such requests at once, or that forgets
-// one of them for the others.
-TEST(QueryOfDeath, ManyAtOnceAreEachStopped)
+// Guards against losing all engines to many such requests at once, and against records of one
+// request that displace those of another.
+TEST(QueryOfDeath, ManyAtOnceAreEachQuarantined)
 {
     WorldSettings settings;
-    settings.deadlyRequests = 50;
-    settings.mostSends = 4;
+    settings.crashingRequestCount = 50;
+    settings.maxSends = 4;
     World world{ settings };
     world.runFor(std::chrono::seconds(120));
-    expectStopped(world);
-    EXPECT_EQ(quarantined(world), 0U);
+    expectNoFurtherDispatch(world);
+    EXPECT_EQ(quarantinedRequests(world), 0U);
 }
 
 } // namespace
--- a/tests/gateway_world/stated_limit_test.cpp
+++ b/tests/gateway_world/stated_limit_test.cpp
@@ -7,13 +7,13 @@
 namespace azurewell::gateway {
 namespace {
 
-/// Of the users' rule, in any 4 s.
-double mostAllowed(double perSecond)
+/// Maximum number of requests in any 4 s.
+double maxAllowed(double perSecond)
 {
     return 1.5 * perSecond * 4 + 5;
 }
 
-/// Hosts of a fleet, and limits of two of its engines.
+/// The size of a fleet, its request rate, and the limit that two of its engines state.
 struct Case
 {
     std::size_t zones;
@@ -32,25 +32,26 @@
 {
 };
 
-// Guards against hosts that each keep to what an engine takes from all of them together, and
-// against those that do not keep to it at all.
+// Guards against hosts that each send at the rate that an engine accepts from all hosts together,
+// and against hosts that ignore the limit.
 TEST_P(StatedLimits, AreKeptByAllHostsTogether)
 {
-    const Case &now = GetParam();
+    const Case &fleet = GetParam();
     WorldSettings settings;
-    settings.zones = now.zones;
-    settings.hostsPerZone = now.hostsPerZone;
-    settings.enginesPerZone = now.enginesPerZone;
-    settings.requestsPerSecond = now.requestsPerSecond;
-    settings.adapters = 40 * now.enginesPerZone;
-    settings.loadsAtOnce = now.enginesPerZone * 2;
+    settings.zones = fleet.zones;
+    settings.hostsPerZone = fleet.hostsPerZone;
+    settings.enginesPerZone = fleet.enginesPerZone;
+    settings.requestsPerSecond = fleet.requestsPerSecond;
+    settings.adapters = 40 * fleet.enginesPerZone;
+    settings.loadsAtOnce = fleet.enginesPerZone * 2;
     World world{ settings };
     world.runFor(std::chrono::seconds(8));
-    world.limitEngine(0, now.perSecond);
-    world.limitEngine(1, now.perSecond);
+    world.limitEngine(0, fleet.perSecond);
+    world.limitEngine(1, fleet.perSecond);
     world.runFor(std::chrono::seconds(12));
     for (std::size_t engine = 0; engine < 2; ++engine)
-        EXPECT_LE(static_cast<double>(world.mostUnderLimit(engine)), mostAllowed(now.perSecond));
+        EXPECT_LE(static_cast<double>(world.maxArrivalsUnderLimit(engine)),
+                  maxAllowed(fleet.perSecond));
     EXPECT_TRUE(world.violations.empty());
 }
 
@@ -59,37 +60,37 @@
                                          Case{ 3, 2, 3, 60, 2 }, Case{ 3, 27, 30, 400, 1 },
                                          Case{ 3, 27, 30, 400, 0.5 }, Case{ 5, 39, 24, 700, 1.2 }));
 
-void limitAll(World &world, double perSecond)
+void limitAllEngines(World &world, double perSecond)
 {
     for (std::size_t engine = 0; engine < world.engineCount(); ++engine)
         world.limitEngine(engine, perSecond);
 }
 
-void expectKept(const World &world, double perSecond)
+void expectLimitsKept(const World &world, double perSecond)
 {
     for (std::size_t engine = 0; engine < world.engineCount(); ++engine)
-        EXPECT_LE(static_cast<double>(world.mostUnderLimit(engine)), mostAllowed(perSecond));
+        EXPECT_LE(static_cast<double>(world.maxArrivalsUnderLimit(engine)), maxAllowed(perSecond));
 }
 
-// Guards against capacity that nobody uses: what all engines of a service allow together is what
-// the service takes, whichever hosts its callers are at.
-TEST(StatedLimitsWorld, AreUsedWhereEveryEngineNamesOne)
+// Guards against unused capacity: a service must accept the sum of its engines' limits, whichever
+// hosts its callers use.
+TEST(StatedLimitsWorld, AreFullyUsedWhenEveryEngineStatesOne)
 {
     constexpr double perSecond = 2;
     constexpr int seconds = 16;
     World world{ WorldSettings{} };
     world.runFor(std::chrono::seconds(8));
-    limitAll(world, perSecond);
+    limitAllEngines(world, perSecond);
     world.runFor(std::chrono::seconds(4));
     const std::uint64_t answered = world.answered;
     world.runFor(std::chrono::seconds(seconds));
     const double allowed = perSecond * static_cast<double>(world.engineCount()) * seconds;
     EXPECT_GT(static_cast<double>(world.answered - answered), 0.8 * allowed);
-    expectKept(world, perSecond);
+    expectLimitsKept(world, perSecond);
 }
 
-// Guards against two hosts that both give permits, and against none, when the one that does dies,
-// is paused or starts anew.
+// Guards against two hosts that both grant permits, and against none doing so, when the granting
+// host is killed, paused or restarted.
 TEST(StatedLimitsWorld, AreKeptWhenHostsAreReplaced)
 {
     constexpr double perSecond = 2;
@@ -100,7 +101,7 @@
         settings.requestsPerSecond = 60;
         World world{ settings };
         world.runFor(std::chrono::seconds(8));
-        limitAll(world, perSecond);
+        limitAllEngines(world, perSecond);
         for (std::size_t host = 0; host < world.hostCount(); ++host) {
             world.pauseHost((host + 5) % world.hostCount(), std::chrono::seconds(1));
             world.killHost(host);
@@ -108,24 +109,24 @@
             world.startHost(host, false);
             world.runFor(std::chrono::milliseconds(900));
         }
-        expectKept(world, perSecond);
+        expectLimitsKept(world, perSecond);
     }
 }
 
-// Guards against an engine that is kept in need for good, as nobody sends there and hears
-// otherwise.
-TEST(StatedLimitsWorld, EndWhenAnAnswerNamesNone)
+// Guards against an engine that stays limited forever because no request is sent that could return
+// an answer without a limit.
+TEST(StatedLimitsWorld, EndWhenAnAnswerStatesNone)
 {
     World world{ WorldSettings{} };
     world.runFor(std::chrono::seconds(8));
-    limitAll(world, 1);
+    limitAllEngines(world, 1);
     world.runFor(std::chrono::seconds(8));
-    limitAll(world, 0);
+    limitAllEngines(world, 0);
     world.runFor(std::chrono::seconds(8));
     const std::uint64_t answered = world.answered;
-    const std::uint64_t asked = world.asked;
+    const std::uint64_t sentBefore = world.asked;
     world.runFor(std::chrono::seconds(10));
-    EXPECT_GT(world.answered - answered, (world.asked - asked) * 88 / 100);
+    EXPECT_GT(world.answered - answered, (world.asked - sentBefore) * 88 / 100);
 }
 
 } // namespace
--- a/tests/gateway_world/world.cpp
+++ b/tests/gateway_world/world.cpp
@@ -10,22 +10,22 @@
 
 namespace {
 
-constexpr Span hop = std::chrono::milliseconds(2);
-constexpr Span slowestWay = std::chrono::milliseconds(200);
+constexpr Span networkLatency = std::chrono::milliseconds(2);
+constexpr Span slowOrderLatency = std::chrono::milliseconds(200);
 
-/// Orders of two hosts to one engine within this time are a conflict.
+/// Orders of two hosts to one engine within this time violate the lease.
 constexpr Span leaseLength = std::chrono::milliseconds(3000);
 
-/// A request takes at least this at an engine, and 250 ms more on average: at 60 requests a second
-/// 24 run at once, for 45 places.
-constexpr Span shortestRun = std::chrono::milliseconds(150);
-constexpr double runsPerSecond = 4;
+/// Minimum run time at an engine; the rest is exponential with a mean of 250 ms. At 60 requests a
+/// second 24 run at once, for 45 adapter slots.
+constexpr Span minRunTime = std::chrono::milliseconds(150);
+constexpr double runRate = 4;
 
-constexpr Span callersBeginAfter = std::chrono::seconds(4);
-constexpr Span deadlyBeginAfter = std::chrono::seconds(8);
+constexpr Span callersStartDelay = std::chrono::seconds(4);
+constexpr Span crashingRequestsDelay = std::chrono::seconds(8);
 
-/// Above the numbers of all other requests.
-constexpr std::uint64_t firstDeadlyContent = 1ULL << 40U;
+/// Greater than the content digests of all other requests.
+constexpr std::uint64_t firstCrashingContent = 1ULL << 40U;
 
 const std::string baseName = "base";
 
@@ -46,7 +46,7 @@
     service.id.value = "engines";
     service.engine = EngineLimits{};
     service.engine->batchSlots = 64;
-    service.engine->adapterPlaces = static_cast<std::uint32_t>(settings.places);
+    service.engine->adapterPlaces = static_cast<std::uint32_t>(settings.adapterSlots);
     service.engine->models.push_back({ baseName, 70000, std::chrono::seconds(2) });
     configuration.services.push_back(service);
     Customer customer;
@@ -83,7 +83,8 @@
     , random(worldSettings.seed)
 {
     for (std::size_t rank = 1; rank <= this->settings.adapters; ++rank)
-        this->adapterWeights.push_back(std::pow(static_cast<double>(rank), -this->settings.zipf));
+        this->adapterWeights.push_back(
+                std::pow(static_cast<double>(rank), -this->settings.zipfExponent));
     for (std::size_t index = 0; index < this->settings.zones * this->settings.enginesPerZone;
          ++index) {
         FakeEngine engine;
@@ -92,48 +93,49 @@
         this->engines.push_back(engine);
     }
     this->hosts.resize(this->settings.zones * this->settings.hostsPerZone);
-    this->isCutOff.resize(this->hosts.size());
+    this->partitionedHosts.resize(this->hosts.size());
     for (std::size_t index = 0; index < this->hosts.size(); ++index)
         this->hostAt[addressOf(index)] = index;
     for (FakeEngine &engine : this->engines)
-        this->remember(engine);
+        this->recordState(engine);
     for (std::size_t index = 0; index < this->hosts.size(); ++index)
         this->startHost(index, true);
-    this->at(this->now + callersBeginAfter, [this] { this->arrive(); });
-    for (std::size_t index = 0; index < this->settings.deadlyRequests; ++index) {
-        const ContentDigest content{ firstDeadlyContent + index };
-        this->deadly[content] = {};
-        this->at(this->now + deadlyBeginAfter, [this, content] { this->arriveDeadly(content); });
+    this->schedule(this->now + callersStartDelay, [this] { this->sendRandomRequest(); });
+    for (std::size_t index = 0; index < this->settings.crashingRequestCount; ++index) {
+        const ContentDigest content{ firstCrashingContent + index };
+        this->crashingRequests[content] = {};
+        this->schedule(this->now + crashingRequestsDelay,
+                       [this, content] { this->sendCrashingRequest(content); });
     }
 }
 
-void World::at(Instant when, std::function<void()> act)
+void World::schedule(Instant when, std::function<void()> callback)
 {
-    this->due.push_back({ when, this->nextSerial++, std::move(act) });
-    std::push_heap(this->due.begin(), this->due.end(), std::greater<>());
+    this->scheduled.push_back({ when, this->nextSequenceNumber++, std::move(callback) });
+    std::push_heap(this->scheduled.begin(), this->scheduled.end(), std::greater<>());
 }
 
 void World::runFor(Span span)
 {
     const Instant end = this->now + span;
-    while (!this->due.empty() && this->due.front().at <= end) {
-        std::pop_heap(this->due.begin(), this->due.end(), std::greater<>());
-        const Due next = std::move(this->due.back());
-        this->due.pop_back();
+    while (!this->scheduled.empty() && this->scheduled.front().at <= end) {
+        std::pop_heap(this->scheduled.begin(), this->scheduled.end(), std::greater<>());
+        const ScheduledEvent next = std::move(this->scheduled.back());
+        this->scheduled.pop_back();
         this->now = std::max(this->now, next.at);
-        next.act();
+        next.callback();
     }
     this->now = end;
 }
 
-void World::violate(const std::string &what)
+void World::recordViolation(const std::string &what)
 {
     this->violations.push_back({ this->now, what });
 }
 
-bool World::acts(std::size_t index, std::uint64_t life) const
+bool World::isIncarnationRunning(std::size_t index, std::uint64_t incarnation) const
 {
-    return this->hosts[index].isUp && this->hosts[index].incarnation == life;
+    return this->hosts[index].isUp && this->hosts[index].incarnation == incarnation;
 }
 
 void World::startHost(std::size_t index, bool isFirst)
@@ -141,7 +143,7 @@
     FakeHost &host = this->hosts[index];
     host.state = GatewayState{};
     host.isUp = true;
-    host.undisturbedSince = this->now;
+    host.stableSince = this->now;
     ++host.incarnation;
     Identity self;
     self.id.value = "h" + std::to_string(index);
@@ -167,30 +169,30 @@
 void World::pauseHost(std::size_t index, Span span)
 {
     this->hosts[index].pausedUntil = this->now + span;
-    this->hosts[index].undisturbedSince = this->now + span;
+    this->hosts[index].stableSince = this->now + span;
 }
 
-void World::cutHost(std::size_t index, bool isCut)
+void World::partitionHost(std::size_t index, bool isPartitioned)
 {
-    this->isCutOff[index] = isCut;
-    this->hosts[index].undisturbedSince = this->now;
+    this->partitionedHosts[index] = isPartitioned;
+    this->hosts[index].stableSince = this->now;
 }
 
 void World::restartEngine(std::size_t index)
 {
     FakeEngine &engine = this->engines[index];
     engine.readyAt.clear();
-    engine.leaving.clear();
+    engine.pendingUnloads.clear();
     engine.running.clear();
     engine.runs.clear();
     engine.hasBase = false;
     engine.ordersTaken = 0;
     ++engine.start;
-    engine.past.clear();
-    this->remember(engine);
+    engine.stateHistory.clear();
+    this->recordState(engine);
 }
 
-void World::relist(const FakeEngine &engine)
+void World::relistEngine(const FakeEngine &engine)
 {
     for (FakeHost &host : this->hosts) {
         if (host.isUp)
@@ -200,34 +202,35 @@
 
 void World::tickHost(std::size_t index)
 {
-    const std::uint64_t life = this->hosts[index].incarnation;
+    const std::uint64_t incarnation = this->hosts[index].incarnation;
     const Instant wake = std::max(this->now, this->hosts[index].pausedUntil);
-    this->at(wake + tickInterval, [this, index, life] {
-        if (!this->acts(index, life))
+    this->schedule(wake + tickInterval, [this, index, incarnation] {
+        if (!this->isIncarnationRunning(index, incarnation))
             return;
         if (this->now >= this->hosts[index].pausedUntil) {
             Actions actions;
             tick(this->hosts[index].state, static_cast<std::uint64_t>(this->now.micros / 1000),
                  this->now, actions);
-            this->run(index, actions);
+            this->applyActions(index, actions);
         }
         this->tickHost(index);
     });
 }
 
-void World::arrive()
+void World::sendRandomRequest()
 {
     std::exponential_distribution<double> gap(this->settings.requestsPerSecond);
-    this->at(this->now + fromSeconds(gap(this->random)), [this] { this->arrive(); });
+    this->schedule(this->now + fromSeconds(gap(this->random)),
+                   [this] { this->sendRandomRequest(); });
     std::discrete_distribution<std::size_t> pick(this->adapterWeights.begin(),
                                                  this->adapterWeights.end());
-    FakeAsk ask;
-    ask.model = { baseName, "a" + std::to_string(pick(this->random)) };
-    ask.content.value = this->nextRequest;
-    this->sendAsk(ask);
+    FakeRequest fakeRequest;
+    fakeRequest.model = { baseName, "a" + std::to_string(pick(this->random)) };
+    fakeRequest.content.value = this->nextRequest;
+    this->sendRequest(fakeRequest);
 }
 
-void World::sendAsk(const FakeAsk &ask)
+void World::sendRequest(const FakeRequest &fakeRequest)
 {
     const std::size_t index = this->random() % this->hosts.size();
     FakeHost &host = this->hosts[index];
@@ -237,33 +240,33 @@
     request.request.value = this->nextRequest++;
     request.host = "h";
     request.path = "/s/x";
-    request.content = ask.content;
+    request.content = fakeRequest.content;
     request.key = KeyHash{ "key" };
-    request.model = ask.model;
+    request.model = fakeRequest.model;
     request.promptTokens.count = 1800;
     request.totalTokens = Tokens{ 2000 };
     request.allowed = std::chrono::seconds(4);
-    this->asked += this->deadly.contains(ask.content) ? 0 : 1;
-    FakeAsk &kept = this->asks[{ index, request.request.value }];
-    kept = ask;
+    this->asked += this->crashingRequests.contains(fakeRequest.content) ? 0 : 1;
+    FakeRequest &kept = this->requests[{ index, request.request.value }];
+    kept = fakeRequest;
     kept.at = this->now;
     Actions actions;
     handle(host.state, request, this->now, actions);
-    this->run(index, actions);
+    this->applyActions(index, actions);
 }
 
-void World::run(std::size_t index, Actions &actions)
+void World::applyActions(std::size_t index, Actions &actions)
 {
     this->refused += actions.refusals.size();
     for (const Refuse &refusal : actions.refusals)
-        this->repeat(this->asks.at({ index, refusal.request.value }), refusal);
+        this->retryAfterRefusal(this->requests.at({ index, refusal.request.value }), refusal);
     for (const Dispatch &toSend : actions.dispatches)
         this->dispatch(index, toSend);
-    for (const OrderEngine &toGive : actions.orders)
-        this->order(index, toGive);
+    for (const OrderEngine &engineOrder : actions.orders)
+        this->sendOrder(index, engineOrder);
     this->reports += actions.reports.size();
-    for (const AskReport &ask : actions.reports)
-        this->answerReport(index, ask);
+    for (const AskReport &query : actions.reports)
+        this->answerReport(index, query);
     for (const SendGossip &gossip : actions.gossip)
         this->deliver(index, gossip);
 }
@@ -272,7 +275,7 @@
 {
     ++this->messages;
     const bool isLost = std::uniform_real_distribution<double>(0, 1)(this->random)
-            < this->settings.lostMessages;
+            < this->settings.messageLossRate;
     if (this->settings.countsBytes) {
         const std::size_t bytes = encodeGossip(*gossip.message, this->now).size();
         this->messageBytes += bytes;
@@ -282,19 +285,19 @@
     if (found == this->hostAt.end() || isLost)
         return;
     const std::size_t to = found->second;
-    if (this->isCutOff[from] || this->isCutOff[to])
+    if (this->partitionedHosts[from] || this->partitionedHosts[to])
         return;
-    this->at(this->now + hop, [this, to, message = gossip.message] {
+    this->schedule(this->now + networkLatency, [this, to, message = gossip.message] {
         FakeHost &host = this->hosts[to];
         if (!host.isUp || this->now < host.pausedUntil)
             return;
         Actions actions;
         handle(host.state, *message, this->now, actions);
-        this->run(to, actions);
+        this->applyActions(to, actions);
     });
 }
 
-FakeEngine *World::engineOf(const UpstreamId &id)
+FakeEngine *World::findEngine(const UpstreamId &id)
 {
     const auto found = std::find_if(this->engines.begin(), this->engines.end(),
                                     [&](const FakeEngine &engine) { return engine.id == id; });
@@ -303,211 +306,224 @@
 
 void World::dispatch(std::size_t index, const Dispatch &toSend)
 {
-    const std::uint64_t life = this->hosts[index].incarnation;
-    const FakeAsk ask = this->asks[{ index, toSend.request.value }];
-    this->at(this->now + hop, [this, index, life, toSend, ask] {
-        FakeEngine &engine = *this->engineOf(toSend.upstream);
+    const std::uint64_t incarnation = this->hosts[index].incarnation;
+    const FakeRequest fakeRequest = this->requests[{ index, toSend.request.value }];
+    this->schedule(this->now + networkLatency, [this, index, incarnation, toSend, fakeRequest] {
+        FakeEngine &engine = *this->findEngine(toSend.upstream);
         if (!engine.isUp) {
-            this->endAttempt({ index, life, toSend }, AttemptOutcome::NotSent);
+            this->endAttempt({ index, incarnation, toSend }, AttemptOutcome::NotSent);
             return;
         }
-        this->noteDeadlySend(index, ask);
-        this->noteLimitedArrival(index, engine);
-        this->tellLimit({ index, life, toSend }, engine, this->now - hop);
-        const auto loaded = engine.readyAt.find(ask.model);
-        const bool isFault = this->settings.faults > 0
+        this->recordCrashingSend(index, fakeRequest);
+        this->recordLimitedArrival(index, engine);
+        this->sendLimit({ index, incarnation, toSend }, engine, this->now - networkLatency);
+        const auto loaded = engine.readyAt.find(fakeRequest.model);
+        const bool isFault = this->settings.faultFraction > 0
                 && std::uniform_real_distribution<double>(0, 1)(this->random)
-                        < this->settings.faults;
+                        < this->settings.faultFraction;
         if (isFault) {
-            this->endWithFault(index, life, toSend);
+            this->endWithFault(index, incarnation, toSend);
             return;
         }
-        const bool isThere = engine.hasBase && loaded != engine.readyAt.end();
-        const bool isReady = isThere && loaded->second <= this->now
-                && !engine.leaving.contains(ask.model);
+        const bool isLoaded = engine.hasBase && loaded != engine.readyAt.end();
+        const bool isReady = isLoaded && loaded->second <= this->now
+                && !engine.pendingUnloads.contains(fakeRequest.model);
         if (isReady) {
-            ++engine.running[ask.model];
-            engine.runs.push_back({ index, life, toSend });
-            this->startSeconds.push_back(toSeconds(this->now - ask.at));
+            ++engine.running[fakeRequest.model];
+            engine.runs.push_back({ index, incarnation, toSend });
+            this->startDelaySeconds.push_back(toSeconds(this->now - fakeRequest.at));
             this->admittedTokens[this->now] += 2000;
         }
-        this->turnedAway += isReady ? 0 : 1;
-        const Span takes = isReady ? shortestRun
-                        + fromSeconds(std::exponential_distribution<double>(runsPerSecond)(
-                                this->random))
-                                   : Span{};
+        this->rejectedNotReady += isReady ? 0 : 1;
+        const Span duration = isReady ? minRunTime
+                        + fromSeconds(std::exponential_distribution<double>(runRate)(this->random))
+                                      : Span{};
         const std::size_t at = static_cast<std::size_t>(&engine - this->engines.data());
-        const std::int64_t engineLife = engine.start;
-        if (isReady && this->deadly.contains(ask.content)) {
-            this->beginDeadlyRun(at);
+        const std::int64_t engineStart = engine.start;
+        if (isReady && this->crashingRequests.contains(fakeRequest.content)) {
+            this->startCrashingRun(at);
             return;
         }
-        this->at(this->now + takes + hop,
-                 [this, index, life, toSend, at, isReady, isThere, ask, engineLife] {
-                     if (isReady) {
-                         if (this->engines[at].start == engineLife)
-                             this->finish(index, life, toSend, at, ask.model);
-                         return;
-                     }
-                     this->endAttempt({ index, life, toSend },
-                                      isThere ? AttemptOutcome::NotRun : AttemptOutcome::NotThere);
-                 });
+        this->schedule(this->now + duration + networkLatency,
+                       [this, index, incarnation, toSend, at, isReady, isLoaded, fakeRequest,
+                        engineStart] {
+                           if (isReady) {
+                               if (this->engines[at].start == engineStart)
+                                   this->finish(index, incarnation, toSend, at, fakeRequest.model);
+                               return;
+                           }
+                           this->endAttempt({ index, incarnation, toSend },
+                                            isLoaded ? AttemptOutcome::NotRun
+                                                     : AttemptOutcome::NotThere);
+                       });
     });
 }
 
-void World::endWithFault(std::size_t index, std::uint64_t life, const Dispatch &sent)
+void World::endWithFault(std::size_t index, std::uint64_t incarnation, const Dispatch &sent)
 {
-    this->at(this->now + hop, [this, index, life, sent] {
-        this->endAttempt({ index, life, sent }, AttemptOutcome::FaultStated);
+    this->schedule(this->now + networkLatency, [this, index, incarnation, sent] {
+        this->endAttempt({ index, incarnation, sent }, AttemptOutcome::FaultStated);
     });
 }
 
 void World::endAttempt(const FakeRun &run, AttemptOutcome outcome)
 {
-    if (!this->acts(run.host, run.hostLife))
+    if (!this->isIncarnationRunning(run.host, run.hostIncarnation))
         return;
-    const bool isCutOff = outcome == AttemptOutcome::Failed;
+    const bool isInterrupted = outcome == AttemptOutcome::Failed;
     Actions actions;
     handle(this->hosts[run.host].state,
-           AttemptEnded{ run.sent.request, run.sent.attempt, outcome, false, isCutOff }, this->now,
-           actions);
-    this->run(run.host, actions);
+           AttemptEnded{ run.sent.request, run.sent.attempt, outcome, false, isInterrupted },
+           this->now, actions);
+    this->applyActions(run.host, actions);
 }
 
-void World::finish(std::size_t index, std::uint64_t life, const Dispatch &sent, std::size_t engine,
-                   const ModelName &model)
+void World::finish(std::size_t index, std::uint64_t incarnation, const Dispatch &sent,
+                   std::size_t engine, const ModelName &model)
 {
     FakeEngine &at = this->engines[engine];
     std::erase_if(at.runs, [&](const FakeRun &run) {
         return run.host == index && run.sent.request == sent.request;
     });
-    if (--at.running[model] == 0 && at.leaving.erase(model) > 0)
+    if (--at.running[model] == 0 && at.pendingUnloads.erase(model) > 0)
         at.readyAt.erase(model);
-    if (!this->acts(index, life))
+    if (!this->isIncarnationRunning(index, incarnation))
         return;
     ++this->answered;
     Actions actions;
     handle(this->hosts[index].state,
            AttemptEnded{ sent.request, sent.attempt, AttemptOutcome::Done, true, false }, this->now,
            actions);
-    this->run(index, actions);
+    this->applyActions(index, actions);
 }
 
-void World::checkHolder(std::size_t index, FakeEngine &engine, const OrderEngine &toGive)
+void World::checkCoordinator(std::size_t index, FakeEngine &engine, const OrderEngine &engineOrder)
 {
     const HostId self = this->hosts[index].state.self.id;
     const bool isOther = !engine.lastOrderedBy.value.empty() && engine.lastOrderedBy != self;
     if (isOther && this->now - engine.lastOrderAt < leaseLength) {
-        this->violate(engine.id.value + ": " + self.value + " orders "
-                      + std::to_string((this->now - engine.lastOrderAt).count() / 1000)
-                      + " ms after " + engine.lastOrderedBy.value);
+        this->recordViolation(engine.id.value + ": " + self.value + " sent an order "
+                              + std::to_string((this->now - engine.lastOrderAt).count() / 1000)
+                              + " ms after " + engine.lastOrderedBy.value);
     }
-    if (toGive.fencing.value < engine.highestFencing)
-        this->violate(engine.id.value + ": a lower fencing number after a higher one");
-    engine.highestFencing = std::max(engine.highestFencing, toGive.fencing.value);
+    if (engineOrder.fencing.value < engine.highestFencing)
+        this->recordViolation(engine.id.value
+                              + ": received a fencing number lower than an earlier one");
+    engine.highestFencing = std::max(engine.highestFencing, engineOrder.fencing.value);
     engine.lastOrderedBy = self;
     engine.lastOrderAt = this->now;
 }
 
-Span World::loadSpan(FakeEngine &engine, const ModelName &adapter)
+Span World::loadDuration(FakeEngine &engine, const ModelName &adapter)
 {
-    const auto held = std::find(engine.heldLately.begin(), engine.heldLately.end(), adapter);
-    const bool isHeld = held != engine.heldLately.end();
+    const auto held = std::find(engine.cachedAdapters.begin(), engine.cachedAdapters.end(),
+                                adapter);
+    const bool isHeld = held != engine.cachedAdapters.end();
     if (isHeld)
-        engine.heldLately.erase(held);
-    engine.heldLately.push_front(adapter);
-    if (engine.heldLately.size() > this->settings.heldLately)
-        engine.heldLately.pop_back();
+        engine.cachedAdapters.erase(held);
+    engine.cachedAdapters.push_front(adapter);
+    if (engine.cachedAdapters.size() > this->settings.cacheSize)
+        engine.cachedAdapters.pop_back();
     if (isHeld)
         return this->settings.loadTime / 10;
     ++this->fetches;
     std::erase_if(this->fetchesEnd, [this](Instant end) { return end <= this->now; });
     const std::size_t others = this->fetchesEnd.size();
-    const double crowding = static_cast<double>(others + 1)
+    const double slowdown = static_cast<double>(others + 1)
             / static_cast<double>(this->settings.loadsAtOnce);
-    const Span takes = fromSeconds(toSeconds(this->settings.loadTime) * std::max(crowding, 1.0));
-    this->fetchesEnd.push_back(this->now + takes);
-    return takes;
+    const Span duration = fromSeconds(toSeconds(this->settings.loadTime) * std::max(slowdown, 1.0));
+    this->fetchesEnd.push_back(this->now + duration);
+    return duration;
 }
 
-void World::takeOrder(std::size_t index, const OrderEngine &toGive, FakeEngine &engine,
-                      OrderEnded &ended)
+void World::executeOrder(std::size_t index, const OrderEngine &engineOrder, FakeEngine &engine,
+                         OrderEnded &ended)
 {
-    this->checkHolder(index, engine, toGive);
+    this->checkCoordinator(index, engine, engineOrder);
     ended.outcome = OrderOutcome::Taken;
-    if (toGive.model.isBase()) {
+    if (engineOrder.model.isBase()) {
         engine.hasBase = true;
-    } else if (toGive.isLoad && engine.readyAt.contains(toGive.model)) {
+    } else if (engineOrder.isLoad && engine.readyAt.contains(engineOrder.model)) {
         ended.outcome = OrderOutcome::HeldAlready;
         return;
-    } else if (toGive.isLoad) {
-        if (engine.readyAt.size() >= this->settings.places)
-            this->violate(engine.id.value + ": ordered to hold more than it has places for");
-        engine.readyAt[toGive.model] = this->now + this->loadSpan(engine, toGive.model);
+    } else if (engineOrder.isLoad) {
+        if (engine.readyAt.size() >= this->settings.adapterSlots)
+            this->recordViolation(
+                    engine.id.value
+                    + ": ordered to load an adapter while all adapter slots are occupied");
+        engine.readyAt[engineOrder.model] = this->now
+                + this->loadDuration(engine, engineOrder.model);
         ++this->loads;
     } else {
         ++this->unloads;
-        const auto held = engine.readyAt.find(toGive.model);
+        const auto held = engine.readyAt.find(engineOrder.model);
         if (held != engine.readyAt.end() && held->second > this->now) {
-            // Nothing to unload yet; the load goes on and keeps its place.
+            // Nothing to unload yet; the load continues and keeps its slot.
             ended.outcome = OrderOutcome::HeldAlready;
             return;
         }
-        if (engine.running[toGive.model] > 0) {
-            ++this->unloadsInUse;
-            engine.leaving.insert(toGive.model);
+        if (engine.running[engineOrder.model] > 0) {
+            ++this->unloadsWhileInUse;
+            engine.pendingUnloads.insert(engineOrder.model);
         } else {
-            engine.readyAt.erase(toGive.model);
+            engine.readyAt.erase(engineOrder.model);
             ended.outcome = OrderOutcome::HeldAlready;
         }
     }
     ++engine.ordersTaken;
-    this->remember(engine);
+    this->recordState(engine);
 }
 
-/// Whether the order is one of those that get lost; its host gives it up later.
-bool World::loseOrder(std::size_t index, const OrderEngine &toGive)
+/// Whether the order is dropped. Its host is notified of the timeout after orderTimeout.
+bool World::dropOrder(std::size_t index, const OrderEngine &engineOrder)
 {
-    constexpr Span givenUpAfter = std::chrono::milliseconds(1200);
-    if (!toGive.model.isBase() || this->settings.lostBaseOrders == 0)
+    constexpr Span orderTimeout = std::chrono::milliseconds(1200);
+    if (!engineOrder.model.isBase() || this->settings.lostBaseOrders == 0)
         return false;
     --this->settings.lostBaseOrders;
-    const std::uint64_t life = this->hosts[index].incarnation;
-    const OrderEnded ended{ toGive.engine,  toGive.model, toGive.isLoad,
-                            toGive.version, this->now,    OrderOutcome::Unknown };
-    this->at(this->now + givenUpAfter,
-             [this, index, life, ended] { this->endOrder(index, life, ended); });
+    const std::uint64_t incarnation = this->hosts[index].incarnation;
+    const OrderEnded ended{ engineOrder.engine,  engineOrder.model, engineOrder.isLoad,
+                            engineOrder.version, this->now,         OrderOutcome::Unknown };
+    this->schedule(this->now + orderTimeout, [this, index, incarnation, ended] {
+        this->endOrder(index, incarnation, ended);
+    });
     return true;
 }
 
-void World::endOrder(std::size_t index, std::uint64_t life, const OrderEnded &ended)
+void World::endOrder(std::size_t index, std::uint64_t incarnation, const OrderEnded &ended)
 {
-    if (!this->acts(index, life))
+    if (!this->isIncarnationRunning(index, incarnation))
         return;
     Actions actions;
     handle(this->hosts[index].state, ended, this->now, actions);
-    this->run(index, actions);
+    this->applyActions(index, actions);
 }
 
-void World::order(std::size_t index, const OrderEngine &toGive)
+void World::sendOrder(std::size_t index, const OrderEngine &engineOrder)
 {
-    if (this->loseOrder(index, toGive))
+    if (this->dropOrder(index, engineOrder))
         return;
-    const std::uint64_t life = this->hosts[index].incarnation;
+    const std::uint64_t incarnation = this->hosts[index].incarnation;
     const Instant sentAt = this->now;
     std::uniform_real_distribution<double> part(0, 1);
-    const bool isSlow = this->settings.slowOrders > 0
-            && part(this->random) < this->settings.slowOrders;
-    const Span way = isSlow ? slowestWay + fromSeconds(part(this->random) * 0.3) : hop;
-    this->at(this->now + way, [this, index, life, toGive, sentAt] {
-        FakeEngine &engine = *this->engineOf(toGive.engine);
+    const bool isSlow = this->settings.slowOrderFraction > 0
+            && part(this->random) < this->settings.slowOrderFraction;
+    const Span latency = isSlow ? slowOrderLatency + fromSeconds(part(this->random) * 0.3)
+                                : networkLatency;
+    this->schedule(this->now + latency, [this, index, incarnation, engineOrder, sentAt] {
+        FakeEngine &engine = *this->findEngine(engineOrder.engine);
         if (!engine.isUp)
             return;
-        OrderEnded ended{ toGive.engine,  toGive.model, toGive.isLoad,
-                          toGive.version, sentAt,       OrderOutcome::Refused };
-        this->takeOrder(index, toGive, engine, ended);
-        this->at(this->now + hop,
-                 [this, index, life, ended] { this->endOrder(index, life, ended); });
+        OrderEnded ended{ engineOrder.engine,
+                          engineOrder.model,
+                          engineOrder.isLoad,
+                          engineOrder.version,
+                          sentAt,
+                          OrderOutcome::Refused };
+        this->executeOrder(index, engineOrder, engine, ended);
+        this->schedule(this->now + networkLatency, [this, index, incarnation, ended] {
+            this->endOrder(index, incarnation, ended);
+        });
     });
 }
 
@@ -527,32 +543,34 @@
     return state;
 }
 
-void World::remember(FakeEngine &engine)
+void World::recordState(FakeEngine &engine)
 {
-    engine.past.emplace_back(this->now, this->stateOf(engine));
+    engine.stateHistory.emplace_back(this->now, this->stateOf(engine));
 }
 
-void World::answerReport(std::size_t index, const AskReport &ask)
+void World::answerReport(std::size_t index, const AskReport &query)
 {
-    const std::uint64_t life = this->hosts[index].incarnation;
+    const std::uint64_t incarnation = this->hosts[index].incarnation;
     const Instant askedAt = this->now;
-    this->at(this->now + hop, [this, index, life, ask, askedAt] {
-        FakeEngine &engine = *this->engineOf(ask.engine);
+    this->schedule(this->now + networkLatency, [this, index, incarnation, query, askedAt] {
+        FakeEngine &engine = *this->findEngine(query.engine);
         if (!engine.isUp)
             return;
-        this->remember(engine);
-        while (engine.past.size() > 1
-               && engine.past[1].first <= this->now - this->settings.reportLag)
-            engine.past.erase(engine.past.begin());
-        const EngineState late = engine.past.front().second;
-        this->at(this->now + hop, [this, index, life, ask, askedAt, late] {
-            if (!this->acts(index, life) || this->now < this->hosts[index].pausedUntil)
-                return;
-            Actions actions;
-            handle(this->hosts[index].state, ReportRead{ ask.engine, askedAt, late }, this->now,
-                   actions);
-            this->run(index, actions);
-        });
+        this->recordState(engine);
+        while (engine.stateHistory.size() > 1
+               && engine.stateHistory[1].first <= this->now - this->settings.reportLag)
+            engine.stateHistory.erase(engine.stateHistory.begin());
+        const EngineState delayed = engine.stateHistory.front().second;
+        this->schedule(this->now + networkLatency,
+                       [this, index, incarnation, query, askedAt, delayed] {
+                           if (!this->isIncarnationRunning(index, incarnation)
+                               || this->now < this->hosts[index].pausedUntil)
+                               return;
+                           Actions actions;
+                           handle(this->hosts[index].state,
+                                  ReportRead{ query.engine, askedAt, delayed }, this->now, actions);
+                           this->applyActions(index, actions);
+                       });
     });
 }
 
--- a/tests/gateway_world/world.h
+++ b/tests/gateway_world/world.h
@@ -12,42 +12,43 @@
 
 namespace azurewell::gateway {
 
-/// What went against a promise of the system.
+/// A violated invariant of the system, with the time at which it was detected.
 struct Violation
 {
     Instant at;
     std::string what;
 };
 
-/// A request at an engine.
+/// A request that runs at an engine.
 struct FakeRun
 {
     std::size_t host = 0;
-    std::uint64_t hostLife = 0;
+    std::uint64_t hostIncarnation = 0;
     Dispatch sent;
 };
 
-/// What a caller sent to a host.
-struct FakeAsk
+/// A request as a caller sends it to a host.
+struct FakeRequest
 {
     ModelName model;
     Instant at;
     ContentDigest content;
-    std::uint32_t sends = 1; ///< With this one.
+    std::uint32_t sends = 1; ///< Times sent so far, including this one.
 };
 
-/// A request that ends each engine that begins to run it.
-struct DeadlyRequest
+/// A request that crashes each engine that begins to run it (a query of death).
+struct CrashingRequest
 {
-    std::set<std::pair<UpstreamId, std::int64_t>> ended; ///< Lives of engines.
-    Instant thirdEndAt;
-    std::size_t runningAtThird = 0;   ///< At other engines.
-    std::uint64_t sentAfterThird = 0; ///< Sends later than toldWithin after that, by hosts that
-                                      ///< were not disturbed for so long.
+    std::set<std::pair<UpstreamId, std::int64_t>> crashedEngines; ///< Engine id and start number.
+    Instant thirdCrashAt;
+    std::size_t runningAtThirdCrash = 0; ///< Runs at other engines at the third crash.
+    /// Sends later than propagationTime after the third crash, by hosts that were neither paused
+    /// nor partitioned for that long.
+    std::uint64_t sentAfterThirdCrash = 0;
 };
 
-/// An engine as hosts meet it: places for adapters, loads that take time, reports that are late, no
-/// check of fencing numbers.
+/// A simulated engine with adapter slots, load times and delayed reports. It does not check fencing
+/// numbers.
 struct FakeEngine
 {
     UpstreamId id;
@@ -57,28 +58,30 @@
     std::uint64_t ordersTaken = 0;
     bool hasBase = true;
     Instant baseReadyAt;
-    std::map<ModelName, Instant> readyAt; ///< Adapters that take a place; in the future: loading.
+    /// Adapters that occupy a slot, with the end of their load; in the future while loading.
+    std::map<ModelName, Instant> readyAt;
     std::map<ModelName, std::uint32_t> running;
-    std::set<ModelName> leaving;      ///< Unloaded when their last request has ended.
-    std::deque<ModelName> heldLately; ///< Newest first.
+    std::set<ModelName> pendingUnloads;   ///< Unloaded when their last request has ended.
+    std::deque<ModelName> cachedAdapters; ///< In the memory of the engine's host, newest first.
     std::vector<FakeRun> runs;
-    double limitPerSecond = 0;                  ///< Named in its answers; 0: none.
-    Instant limitNamedAt;                       ///< The first time.
-    std::map<std::size_t, Instant> limitToldAt; ///< To each host, the first time.
-    std::vector<Instant> arrivalsUnderLimit;    ///< From hosts that have to keep to it.
+    double limitPerSecond = 0; ///< Stated in its answers, requests a second; 0: none.
+    Instant limitStatedAt;     ///< When the limit was first stated; 0: not yet.
+    std::map<std::size_t, Instant> limitReceivedAt; ///< By host: when it first received the limit.
+    std::vector<Instant> arrivalsUnderLimit; ///< Times of requests from hosts that must comply.
     HostId lastOrderedBy;
     Instant lastOrderAt;
     std::uint64_t highestFencing = 0;
-    std::vector<std::pair<Instant, EngineState>> past; ///< What reports will say later.
+    /// Oldest first; reports return the state of WorldSettings::reportLag ago.
+    std::vector<std::pair<Instant, EngineState>> stateHistory;
 };
 
-/// A host and what its callers sent.
+/// A simulated host.
 struct FakeHost
 {
     GatewayState state;
     bool isUp = true;
     Instant pausedUntil;
-    Instant undisturbedSince;
+    Instant stableSince;
     std::uint64_t incarnation = 1;
 };
 
@@ -88,30 +91,30 @@
     std::size_t hostsPerZone = 2;
     std::size_t enginesPerZone = 3;
     std::size_t zones = 3;
-    double requestsPerSecond = 40; ///< Of the deployments, one sends 60 to 18 engines, one 30 to 9.
-    double zipf = 1.2;
+    double requestsPerSecond = 40; ///< Deployments have 60 with 18 engines, and 30 with 9.
+    double zipfExponent = 1.2;
     std::size_t adapters = 300;
-    double tokenRate = 0; ///< Of the one customer; 0: no limit.
-    std::size_t places = 5;
+    double tokenRate = 0;         ///< Tokens a second of the only customer; 0: no limit.
+    std::size_t adapterSlots = 5; ///< Of each engine.
     Span loadTime = std::chrono::milliseconds(250);
-    std::size_t loadsAtOnce = 8; ///< At full speed; with more on their way each takes longer.
-    std::size_t heldLately = 30; ///< Adapters in the memory of an engine's host: loaded ten times
+    std::size_t loadsAtOnce = 8; ///< Concurrent loads at full speed; with more, each takes longer.
+    std::size_t cacheSize = 30;  ///< Adapters in the memory of an engine's host: loaded ten times
                                  ///< as fast, and not from the weight store.
     Span reportLag = std::chrono::milliseconds(100);
-    double lostMessages = 0.01;
-    std::size_t lostBaseOrders = 0; ///< So many orders of a base model, the first ones, never
-                                    ///< arrive and are not answered.
-    double slowOrders = 0; ///< The part of orders that reach their engine only after 200 to 500 ms.
-    double faults = 0; ///< The part of requests that engines end at once with a fault of their own,
-                       ///< whatever they hold.
-    std::size_t deadlyRequests = 0; ///< Each is sent again and again, at any host.
-    Span deadlyEvery = std::chrono::milliseconds(700);
-    Span engineRestartTakes = std::chrono::seconds(3);
-    std::uint32_t mostSends = 1; ///< Of a request whose answer broke off; the caller repeats it.
-    bool countsBytes = false;    ///< Each message is encoded and decoded as on the wire.
+    double messageLossRate = 0.01;  ///< Fraction of the messages between hosts.
+    std::size_t lostBaseOrders = 0; ///< The first orders to load a base model that never arrive
+                                    ///< and are not answered.
+    double slowOrderFraction = 0;   ///< Of orders; these reach their engine after 200 to 500 ms.
+    double faultFraction = 0; ///< Fraction of requests that engines fail at once with an internal
+                              ///< error, whether or not the adapter is loaded.
+    std::size_t crashingRequestCount = 0; ///< Each is sent repeatedly, to random hosts.
+    Span crashingRequestInterval = std::chrono::milliseconds(700);
+    Span engineRestartTime = std::chrono::seconds(3);
+    std::uint32_t maxSends = 1; ///< Attempts of a caller whose answers are interrupted.
+    bool countsBytes = false;   ///< Each message is encoded and decoded as on the wire.
 };
 
-/// Hosts, engines and callers in one process, on a clock of its own. Repeatable from its seed.
+/// Hosts, engines and callers in one process, on a virtual clock. Deterministic for a given seed.
 class World
 {
 public:
@@ -126,20 +129,22 @@
 
     void killHost(std::size_t index);
     void startHost(std::size_t index, bool isFirst);
-    /// The host does nothing for \a span, and then goes on with what it believed.
+    /// The host does nothing for \a span, and then continues with its old state.
     void pauseHost(std::size_t index, Span span);
-    /// Host \a index hears no other host and is heard by none.
-    void cutHost(std::size_t index, bool isCut);
+    /// Host \a index neither receives from other hosts nor reaches them; engines stay reachable.
+    void partitionHost(std::size_t index, bool isPartitioned);
     void restartEngine(std::size_t index);
-    /// The engine names \a perSecond in its answers from now on; 0: no limit any more.
+    /// The engine states \a perSecond in its answers from now on; 0: no limit.
     void limitEngine(std::size_t index, double perSecond);
-    /// The most arrivals at the engine in any 4 s from hosts that it had told.
-    std::size_t mostUnderLimit(std::size_t index) const;
+    /// The maximum number of arrivals at the engine in any 4 s from hosts that must comply with its
+    /// limit.
+    std::size_t maxArrivalsUnderLimit(std::size_t index) const;
     std::size_t arrivalsUnderLimit(std::size_t index) const
     {
         return this->engines[index].arrivalsUnderLimit.size();
     }
-    /// The engine ends with all that it runs, and is back, empty, some seconds later.
+    /// The engine crashes with all its requests and is back after
+    /// WorldSettings::engineRestartTime without models.
     void crashEngine(std::size_t index);
 
     std::size_t hostCount() const
@@ -164,81 +169,83 @@
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
     std::uint64_t loads = 0;
-    std::uint64_t fetches = 0; ///< Loads that the weight store brought.
+    std::uint64_t fetches = 0; ///< Loads from the weight store.
     std::uint64_t unloads = 0;
-    std::uint64_t turnedAway = 0;     ///< Requests for adapters that an engine does not have ready.
-    std::uint64_t messages = 0;       ///< Between hosts.
-    std::uint64_t messageBytes = 0;   ///< Of these, where WorldSettings::countsBytes.
-    SentCounts sentByKind;            ///< The same by kind.
-    std::uint64_t reports = 0;        ///< Asked of engines.
-    std::uint64_t unloadsInUse = 0;   ///< Their places stay taken, and requests are sent away.
-    std::vector<double> startSeconds; ///< From a request's arrival to its start, of those answered.
+    std::uint64_t rejectedNotReady = 0;    ///< Requests rejected because the adapter was not ready.
+    std::uint64_t messages = 0;            ///< Between hosts.
+    std::uint64_t messageBytes = 0;        ///< Encoded size; 0 without WorldSettings::countsBytes.
+    SentCounts sentByKind;                 ///< Messages between hosts by kind.
+    std::uint64_t reports = 0;             ///< Reports requested from engines.
+    std::uint64_t unloadsWhileInUse = 0;   ///< Their slots stay occupied and requests are rejected.
+    std::vector<double> startDelaySeconds; ///< From a request's arrival to its start.
     std::map<Instant, double> admittedTokens;
-    std::map<ContentDigest, DeadlyRequest> deadly;
-    std::uint64_t cutOff = 0; ///< Requests, deadly ones aside, whose engine ended under them.
-    std::map<ResultCode, std::uint64_t> refusals; ///< Of requests that are not deadly.
+    std::map<ContentDigest, CrashingRequest> crashingRequests;
+    /// Requests interrupted by a crash of their engine, without those that cause crashes.
+    std::uint64_t interrupted = 0;
+    std::map<ResultCode, std::uint64_t> refusals; ///< Without requests that crash engines.
     Instant now{ 1'000'000'000 };
 
 private:
-    struct Due
+    struct ScheduledEvent
     {
         Instant at;
-        std::uint64_t serial;
-        std::function<void()> act;
-        bool operator>(const Due &other) const
+        std::uint64_t sequenceNumber;
+        std::function<void()> callback;
+        bool operator>(const ScheduledEvent &other) const
         {
-            return at != other.at ? at > other.at : serial > other.serial;
+            return at != other.at ? at > other.at : sequenceNumber > other.sequenceNumber;
         }
     };
 
-    void at(Instant when, std::function<void()> act);
+    void schedule(Instant when, std::function<void()> callback);
     void tickHost(std::size_t index);
-    void arrive();
-    void arriveDeadly(const ContentDigest &content);
-    void sendAsk(const FakeAsk &ask);
-    void repeat(const FakeAsk &ask, const Refuse &refusal);
+    void sendRandomRequest();
+    void sendCrashingRequest(const ContentDigest &content);
+    void sendRequest(const FakeRequest &fakeRequest);
+    void retryAfterRefusal(const FakeRequest &fakeRequest, const Refuse &refusal);
     std::size_t countRuns(const ContentDigest &content) const;
-    void noteDeadlySend(std::size_t index, const FakeAsk &ask);
-    void beginDeadlyRun(std::size_t engine);
-    void noteLimitedArrival(std::size_t host, FakeEngine &engine);
-    void tellLimit(const FakeRun &run, FakeEngine &engine, Instant sentAt);
-    void relist(const FakeEngine &engine);
+    void recordCrashingSend(std::size_t index, const FakeRequest &fakeRequest);
+    void startCrashingRun(std::size_t engine);
+    void recordLimitedArrival(std::size_t host, FakeEngine &engine);
+    void sendLimit(const FakeRun &run, FakeEngine &engine, Instant sentAt);
+    void relistEngine(const FakeEngine &engine);
     void endAttempt(const FakeRun &run, AttemptOutcome outcome);
-    void run(std::size_t index, Actions &actions);
+    void applyActions(std::size_t index, Actions &actions);
     void deliver(std::size_t from, const SendGossip &gossip);
     void dispatch(std::size_t index, const Dispatch &toSend);
-    void endWithFault(std::size_t index, std::uint64_t life, const Dispatch &sent);
-    void finish(std::size_t index, std::uint64_t life, const Dispatch &sent, std::size_t engine,
-                const ModelName &model);
-    void order(std::size_t index, const OrderEngine &toGive);
-    bool loseOrder(std::size_t index, const OrderEngine &toGive);
-    void endOrder(std::size_t index, std::uint64_t life, const OrderEnded &ended);
-    void takeOrder(std::size_t index, const OrderEngine &toGive, FakeEngine &engine,
-                   OrderEnded &ended);
-    void answerReport(std::size_t index, const AskReport &ask);
-    void checkHolder(std::size_t index, FakeEngine &engine, const OrderEngine &toGive);
-    Span loadSpan(FakeEngine &engine, const ModelName &adapter);
+    void endWithFault(std::size_t index, std::uint64_t incarnation, const Dispatch &sent);
+    void finish(std::size_t index, std::uint64_t incarnation, const Dispatch &sent,
+                std::size_t engine, const ModelName &model);
+    void sendOrder(std::size_t index, const OrderEngine &engineOrder);
+    bool dropOrder(std::size_t index, const OrderEngine &engineOrder);
+    void endOrder(std::size_t index, std::uint64_t incarnation, const OrderEnded &ended);
+    void executeOrder(std::size_t index, const OrderEngine &engineOrder, FakeEngine &engine,
+                      OrderEnded &ended);
+    void answerReport(std::size_t index, const AskReport &query);
+    void checkCoordinator(std::size_t index, FakeEngine &engine, const OrderEngine &engineOrder);
+    Span loadDuration(FakeEngine &engine, const ModelName &adapter);
     EngineState stateOf(const FakeEngine &engine) const;
-    void remember(FakeEngine &engine);
-    FakeEngine *engineOf(const UpstreamId &id);
-    bool acts(std::size_t index, std::uint64_t life) const;
-    void violate(const std::string &what);
+    void recordState(FakeEngine &engine);
+    FakeEngine *findEngine(const UpstreamId &id);
+    bool isIncarnationRunning(std::size_t index, std::uint64_t incarnation) const;
+    void recordViolation(const std::string &what);
 
     WorldSettings settings;
     std::mt19937_64 random;
     std::vector<FakeHost> hosts;
     std::map<Endpoint, std::size_t> hostAt;
-    std::vector<bool> isCutOff;
+    std::vector<bool> partitionedHosts; ///< By index of the host.
     std::vector<FakeEngine> engines;
-    std::vector<Instant> fetchesEnd; ///< Of loads that the weight store brings.
+    std::vector<Instant> fetchesEnd; ///< End times of loads from the weight store.
     std::vector<double> adapterWeights;
-    std::vector<Due> due; ///< A heap, the earliest first.
-    std::map<std::pair<std::size_t, std::uint64_t>, FakeAsk> asks;
-    std::uint64_t nextSerial = 1;
+    std::vector<ScheduledEvent> scheduled; ///< A heap, the earliest first.
+    /// By host and request id.
+    std::map<std::pair<std::size_t, std::uint64_t>, FakeRequest> requests;
+    std::uint64_t nextSequenceNumber = 1;
     std::uint64_t nextRequest = 1;
 };
 
-/// Who orders a refused request again, or hears of an ended engine, does so within this time.
-inline constexpr Span toldWithin = std::chrono::seconds(3);
+/// Maximum time until all hosts know of a crashed engine or repeat a refused request.
+inline constexpr Span propagationTime = std::chrono::seconds(3);
 
 } // namespace azurewell::gateway
--- a/tests/gateway_world/world_crashes.cpp
+++ b/tests/gateway_world/world_crashes.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// From the start of a deadly run to the end of its engine.
-constexpr Span deadlyRunTakes = std::chrono::milliseconds(80);
+/// From the start of a crashing request to the crash of its engine.
+constexpr Span timeToCrash = std::chrono::milliseconds(80);
 
-/// A caller repeats a request whose answer broke off after this.
-constexpr Span repeatedAfter = std::chrono::milliseconds(300);
+/// Delay before a caller repeats a request whose answer was interrupted.
+constexpr Span retryDelay = std::chrono::milliseconds(300);
 
-constexpr std::size_t endsTolerated = 3;
+constexpr std::size_t maxCrashes = 3;
 
 } // namespace
 
@@ -26,25 +26,25 @@
     engine.runs.clear();
     engine.isUp = false;
     for (const FakeRun &run : runs) {
-        const FakeAsk &ask = this->asks.at({ run.host, run.sent.request.value });
-        const auto deadlyOne = this->deadly.find(ask.content);
-        if (deadlyOne == this->deadly.end()) {
-            ++this->cutOff;
+        const FakeRequest &fakeRequest = this->requests.at({ run.host, run.sent.request.value });
+        const auto found = this->crashingRequests.find(fakeRequest.content);
+        if (found == this->crashingRequests.end()) {
+            ++this->interrupted;
         } else {
-            DeadlyRequest &request = deadlyOne->second;
-            const bool isNew = request.ended.insert({ engine.id, engine.start }).second;
-            if (isNew && request.ended.size() == endsTolerated) {
-                request.thirdEndAt = this->now;
-                request.runningAtThird = this->countRuns(ask.content);
+            CrashingRequest &request = found->second;
+            const bool isNew = request.crashedEngines.insert({ engine.id, engine.start }).second;
+            if (isNew && request.crashedEngines.size() == maxCrashes) {
+                request.thirdCrashAt = this->now;
+                request.runningAtThirdCrash = this->countRuns(fakeRequest.content);
             }
         }
     }
     for (const FakeRun &run : runs)
         this->endAttempt(run, AttemptOutcome::Failed);
-    this->at(this->now + this->settings.engineRestartTakes, [this, index] {
+    this->schedule(this->now + this->settings.engineRestartTime, [this, index] {
         this->restartEngine(index);
         this->engines[index].isUp = true;
-        this->relist(this->engines[index]);
+        this->relistEngine(this->engines[index]);
     });
 }
 
@@ -54,51 +54,53 @@
     for (const FakeEngine &engine : this->engines) {
         runs += static_cast<std::size_t>(
                 std::count_if(engine.runs.begin(), engine.runs.end(), [&](const FakeRun &run) {
-                    return this->asks.at({ run.host, run.sent.request.value }).content == content;
+                    return this->requests.at({ run.host, run.sent.request.value }).content
+                            == content;
                 }));
     }
     return runs;
 }
 
-void World::beginDeadlyRun(std::size_t engine)
+void World::startCrashingRun(std::size_t engine)
 {
-    const std::int64_t life = this->engines[engine].start;
-    this->at(this->now + deadlyRunTakes, [this, engine, life] {
-        if (this->engines[engine].start == life)
+    const std::int64_t engineStart = this->engines[engine].start;
+    this->schedule(this->now + timeToCrash, [this, engine, engineStart] {
+        if (this->engines[engine].start == engineStart)
             this->crashEngine(engine);
     });
 }
 
-void World::arriveDeadly(const ContentDigest &content)
+void World::sendCrashingRequest(const ContentDigest &content)
 {
-    std::exponential_distribution<double> gap(1 / toSeconds(this->settings.deadlyEvery));
-    this->at(this->now + fromSeconds(gap(this->random)),
-             [this, content] { this->arriveDeadly(content); });
-    FakeAsk ask;
-    ask.model = { "base", "a" + std::to_string(content.value % 10) };
-    ask.content = content;
-    this->sendAsk(ask);
+    std::exponential_distribution<double> gap(1
+                                              / toSeconds(this->settings.crashingRequestInterval));
+    this->schedule(this->now + fromSeconds(gap(this->random)),
+                   [this, content] { this->sendCrashingRequest(content); });
+    FakeRequest fakeRequest;
+    fakeRequest.model = { "base", "a" + std::to_string(content.value % 10) };
+    fakeRequest.content = content;
+    this->sendRequest(fakeRequest);
 }
 
-void World::noteDeadlySend(std::size_t index, const FakeAsk &ask)
+void World::recordCrashingSend(std::size_t index, const FakeRequest &fakeRequest)
 {
-    const auto found = this->deadly.find(ask.content);
-    if (found == this->deadly.end() || found->second.ended.size() < endsTolerated)
+    const auto found = this->crashingRequests.find(fakeRequest.content);
+    if (found == this->crashingRequests.end() || found->second.crashedEngines.size() < maxCrashes)
         return;
-    const Instant since = std::max(found->second.thirdEndAt, this->hosts[index].undisturbedSince);
-    found->second.sentAfterThird += this->now > since + toldWithin ? 1 : 0;
+    const Instant since = std::max(found->second.thirdCrashAt, this->hosts[index].stableSince);
+    found->second.sentAfterThirdCrash += this->now > since + propagationTime ? 1 : 0;
 }
 
-void World::repeat(const FakeAsk &ask, const Refuse &refusal)
+void World::retryAfterRefusal(const FakeRequest &fakeRequest, const Refuse &refusal)
 {
-    if (this->deadly.contains(ask.content))
+    if (this->crashingRequests.contains(fakeRequest.content))
         return;
     ++this->refusals[refusal.code];
-    if (refusal.isNotRun || ask.sends >= this->settings.mostSends)
+    if (refusal.isNotRun || fakeRequest.sends >= this->settings.maxSends)
         return;
-    FakeAsk again = ask;
+    FakeRequest again = fakeRequest;
     ++again.sends;
-    this->at(this->now + repeatedAfter, [this, again] { this->sendAsk(again); });
+    this->schedule(this->now + retryDelay, [this, again] { this->sendRequest(again); });
 }
 
 } // namespace azurewell::gateway
--- a/tests/gateway_world/world_limits.cpp
+++ b/tests/gateway_world/world_limits.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-constexpr Span answerTakes = std::chrono::milliseconds(100);
+constexpr Span answerLatency = std::chrono::milliseconds(100);
 
-/// Of the users' rule: hosts keep to a limit so long after it was first named, and so long after
-/// they passed on an answer that names it; counted in windows.
-constexpr Span keptAfter = std::chrono::seconds(3);
-constexpr Span toldBefore = std::chrono::milliseconds(500);
-constexpr Span window = std::chrono::seconds(4);
+/// Hosts must comply with a limit from this long after an answer first stated it.
+constexpr Span complianceDelay = std::chrono::seconds(3);
+/// And from this long after they received an answer that states it.
+constexpr Span receiveDelay = std::chrono::milliseconds(500);
+/// Arrivals are counted in any window of this length.
+constexpr Span limitWindow = std::chrono::seconds(4);
 
 } // namespace
 
@@ -20,49 +21,50 @@
 {
     FakeEngine &engine = this->engines[index];
     engine.limitPerSecond = perSecond;
-    engine.limitNamedAt = {};
-    engine.limitToldAt.clear();
+    engine.limitStatedAt = {};
+    engine.limitReceivedAt.clear();
 }
 
-void World::noteLimitedArrival(std::size_t host, FakeEngine &engine)
+void World::recordLimitedArrival(std::size_t host, FakeEngine &engine)
 {
-    const auto told = engine.limitToldAt.find(host);
-    const bool isKept = engine.limitNamedAt.micros != 0
-            && this->now >= engine.limitNamedAt + keptAfter && told != engine.limitToldAt.end()
-            && this->now >= told->second + toldBefore
-            && this->now >= this->hosts[host].undisturbedSince + keptAfter;
-    if (isKept)
+    const auto received = engine.limitReceivedAt.find(host);
+    const bool mustComply = engine.limitStatedAt.micros != 0
+            && this->now >= engine.limitStatedAt + complianceDelay
+            && received != engine.limitReceivedAt.end()
+            && this->now >= received->second + receiveDelay
+            && this->now >= this->hosts[host].stableSince + complianceDelay;
+    if (mustComply)
         engine.arrivalsUnderLimit.push_back(this->now);
 }
 
-void World::tellLimit(const FakeRun &run, FakeEngine &engine, Instant sentAt)
+void World::sendLimit(const FakeRun &run, FakeEngine &engine, Instant sentAt)
 {
     const double perSecond = engine.limitPerSecond;
-    if (perSecond > 0 && engine.limitNamedAt.micros == 0)
-        engine.limitNamedAt = this->now;
+    if (perSecond > 0 && engine.limitStatedAt.micros == 0)
+        engine.limitStatedAt = this->now;
     const UpstreamId id = engine.id;
-    this->at(this->now + answerTakes, [this, run, id, perSecond, sentAt] {
-        if (!this->acts(run.host, run.hostLife))
+    this->schedule(this->now + answerLatency, [this, run, id, perSecond, sentAt] {
+        if (!this->isIncarnationRunning(run.host, run.hostIncarnation))
             return;
         if (perSecond > 0)
-            this->engineOf(id)->limitToldAt.emplace(run.host, this->now);
+            this->findEngine(id)->limitReceivedAt.emplace(run.host, this->now);
         Actions actions;
         handle(this->hosts[run.host].state, LimitStated{ id, perSecond, sentAt, false }, this->now,
                actions);
-        this->run(run.host, actions);
+        this->applyActions(run.host, actions);
     });
 }
 
-std::size_t World::mostUnderLimit(std::size_t index) const
+std::size_t World::maxArrivalsUnderLimit(std::size_t index) const
 {
     const std::vector<Instant> &arrivals = this->engines[index].arrivalsUnderLimit;
-    std::size_t most = 0;
+    std::size_t maximum = 0;
     for (auto first = arrivals.begin(); first != arrivals.end(); ++first) {
         const auto end = std::find_if(first, arrivals.end(),
-                                      [&](Instant at) { return at - *first >= window; });
-        most = std::max(most, static_cast<std::size_t>(end - first));
+                                      [&](Instant at) { return at - *first >= limitWindow; });
+        maximum = std::max(maximum, static_cast<std::size_t>(end - first));
     }
-    return most;
+    return maximum;
 }
 
 } // namespace azurewell::gateway
