--- a/tests/docs/docs_test.cpp
+++ b/tests/docs/docs_test.cpp
@@ -49,5 +49,6 @@
         names.insert((*match)[1]);
     EXPECT_GT(names.size(), 10U);
     for (const std::string &name : names)
-        EXPECT_NE(page.find("`" + name + "`"), std::string::npos) << name << " is not on the page";
+        EXPECT_NE(page.find("`" + name + "`"), std::string::npos)
+                << name << " is not listed in METRICS.md";
 }
--- a/tests/docs/run_commands.sh
+++ b/tests/docs/run_commands.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# run_commands.sh BUILD SOURCE: runs each ```sh block of the operators' pages, in order, against the
-# quickstart's stand-ins and hosts. A block that fails fails the test. Blocks marked ```text are not run.
+# run_commands.sh BUILD SOURCE: runs each ```sh block of the operator pages, in order, against the
+# stand-ins and hosts of the quickstart. The test fails if a block fails. Blocks marked ```text are not run.
 set -euo pipefail
 build=$1
 source=$2
@@ -19,12 +19,12 @@
   for block in $(ls block-*.sh 2>/dev/null | sort -V); do
     count=$((count + 1))
     if ! bash -euo pipefail "$block" >block.log 2>&1; then
-      echo "$(basename "$page"): this block fails:" >&2
+      echo "$(basename "$page"): a block failed:" >&2
       cat "$block" block.log >&2
       exit 1
     fi
   done
   rm -f block-*.sh
 done
-echo "$count blocks ran"
+echo "$count blocks were run"
 [ "$count" -gt 0 ]
