--- a/benchmark/admission_cost/admission_cost.cpp
+++ b/benchmark/admission_cost/admission_cost.cpp
@@ -1,4 +1,4 @@
-#include "azurewell/limits/share_holder.h"
+#include "azurewell/limits/rate_shares.h"
 
 #include <benchmark/benchmark.h>
 
@@ -24,15 +24,15 @@
 
 /// Returns the rate shares of one host among \a seats hosts, for \a customers. The hosts are in
 /// nine zones, or in three if there are fewer than 60.
-ShareHolder makeShares(std::int64_t customers, std::uint32_t seats)
+RateShares makeShares(std::int64_t customers, std::uint32_t seats)
 {
     const std::uint32_t zoneCount = seats < 60 ? 3 : 9;
     ZoneSeats zones;
     for (std::uint32_t zone = 0; zone < zoneCount; ++zone)
         zones[ZoneId{ "zone-" + std::to_string(zone) }] = seats / zoneCount;
-    ShareHolder shares = makeShareHolder(SeatId{ ZoneId{ "zone-0" }, SeatNumber{ 0 } },
-                                         HostLife{ HostId{ "h" }, Incarnation{ 1 } }, &weightOf,
-                                         ShareSettings{});
+    RateShares shares = makeRateShares(SeatId{ ZoneId{ "zone-0" }, SeatNumber{ 0 } },
+                                       HostIncarnation{ HostId{ "h" }, Incarnation{ 1 } },
+                                       &weightOf, ShareSettings{});
     shares.settings.faults.forgetsFormerLoans = true; // no peers answer queries here
     std::vector<ShareTerms> terms;
     for (std::int64_t index = 0; index < customers; ++index)
@@ -45,7 +45,7 @@
 void admission(benchmark::State &state)
 {
     const std::int64_t customers = state.range(0);
-    ShareHolder shares = makeShares(customers, static_cast<std::uint32_t>(state.range(1)));
+    RateShares shares = makeShares(customers, static_cast<std::uint32_t>(state.range(1)));
     Instant now{ 10'000'000 };
     std::int64_t index = 0;
     std::uint64_t refused = 0;
@@ -71,8 +71,7 @@
     std::size_t bytes = 0;
     for (auto _ : state) {
         const std::size_t before = mallinfo2().uordblks;
-        const ShareHolder shares = makeShares(customers,
-                                              static_cast<std::uint32_t>(state.range(1)));
+        const RateShares shares = makeShares(customers, static_cast<std::uint32_t>(state.range(1)));
         bytes = mallinfo2().uordblks - before;
         benchmark::DoNotOptimize(shares.customers.size());
     }
--- a/benchmark/capacity/fleet_model.cpp
+++ b/benchmark/capacity/fleet_model.cpp
@@ -152,7 +152,7 @@
             const double before = processorSeconds();
             const std::string frame = encodeFrame(envelope);
             const Result<PeerMessage> decoded = decodePayload(
-                    std::string_view(frame).substr(frameHeadBytes));
+                    std::string_view(frame).substr(frameHeaderBytes));
             this->busySeconds += processorSeconds() - before;
             this->total.bytesPerSecond += static_cast<double>(frame.size());
             this->total.messagesPerSecond += decoded ? 1 : 0;
@@ -169,12 +169,12 @@
                 order->isLoad ? loadDuration : networkDelay, host,
                 OrderEnded{
                         order->engine, order->adapter, order->isLoad, true, order->fencing, {} });
-    } else if (const AskLoad *query = std::get_if<AskLoad>(&action)) {
+    } else if (const QueryLoadReport *query = std::get_if<QueryLoadReport>(&action)) {
         LoadReported report;
         report.engine = query->engine;
         report.loaded = this->loadedAdapters[query->engine];
         report.engineStart = 1;
-        report.askedAt = query->askedAt;
+        report.queriedAt = query->queriedAt;
         this->schedule(networkDelay, host, report);
     } else if (const Dispatch *dispatch = std::get_if<Dispatch>(&action)) {
         this->total.requestsPerSecond += this->isMeasuring ? 1 : 0;
@@ -202,7 +202,7 @@
         request.key = keyOf(adapter % this->options.customers);
         request.adapter = AdapterRef{ adapterName(adapter) };
         request.promptTokens = Tokens{ 100 };
-        request.mostGenerated = Tokens{ 256 };
+        request.maxGenerated = Tokens{ 256 };
         request.deadline = this->now + fromSeconds(60);
         this->deliver(anyHost(this->random), request);
     }
--- a/benchmark/decision_cost.cpp
+++ b/benchmark/decision_cost.cpp
@@ -72,9 +72,9 @@
     std::uint64_t request = 0;
     for (auto _ : state) {
         const AdapterRef &adapter = requestedAdapters[request % requestedAdapters.size()];
-        const RouteAsk ask{ baseModel, adapter, ++request, {} };
+        const RouteRequest ask{ baseModel, adapter, ++request, {} };
         const std::optional<UpstreamId> chosen = chooseUpstream(table, ask, Instant{ 0 });
-        noteSent(table, *chosen, adapter, Instant{ 0 });
+        recordSent(table, *chosen, adapter, Instant{ 0 });
         noteEnded(table, *chosen);
         if (request % 64 == 0) { // a report of the engine clears the expected loads
             state.PauseTiming();
@@ -112,7 +112,7 @@
 {
     WaitingRequest request;
     request.request = RequestId{ "host-1-" + std::to_string(number) };
-    request.asker = HostId{ "host" };
+    request.requester = HostId{ "host" };
     request.customer = CustomerId{ "customer-" + std::to_string(number % customers) };
     request.adapter = adapterOf(number % 24);
     request.cost = Tokens{ 1000 };
--- a/benchmark/gateway_fleet/gateway_fleet.cpp
+++ b/benchmark/gateway_fleet/gateway_fleet.cpp
@@ -30,7 +30,7 @@
     for (const auto &[kind, byZone] : sent) {
         const SentByZone &earlier = before[kind];
         printRow(nameOf(kind), "zone", byZone.inZone, earlier.inZone, hostSeconds);
-        printRow(nameOf(kind), "elsewhere", byZone.elsewhere, earlier.elsewhere, hostSeconds);
+        printRow(nameOf(kind), "elsewhere", byZone.inOtherZones, earlier.inOtherZones, hostSeconds);
     }
 }
 
@@ -56,7 +56,8 @@
     app.add_option("--seconds", seconds, "seconds that are measured");
     CLI11_PARSE(app, argc, argv);
     // As deployments configure it: one load at full speed for every two engines, and at least 8.
-    settings.loadsAtOnce = std::max<std::size_t>(8, settings.zones * settings.enginesPerZone / 2);
+    settings.fullSpeedLoads = std::max<std::size_t>(8,
+                                                    settings.zones * settings.enginesPerZone / 2);
     const std::size_t hosts = settings.zones * settings.hostsPerZone;
     settings.requestsPerSecond = requestsPerHost * static_cast<double>(hosts);
 
@@ -74,7 +75,8 @@
                hosts, static_cast<double>(world.messages - messages) / hostSeconds,
                static_cast<double>(world.messageBytes - bytes) / hostSeconds,
                100 * (processSeconds() - startSeconds) / hostSeconds,
-               static_cast<double>(world.loads - loads) / seconds, world.answered, world.asked);
+               static_cast<double>(world.loads - loads) / seconds, world.answered,
+               world.requestsSent);
     printKinds(world.sentByKind, sent, hostSeconds);
     return world.violations.empty() ? 0 : 1;
 }
--- a/benchmark/load_patterns/fleet_run.cpp
+++ b/benchmark/load_patterns/fleet_run.cpp
@@ -202,7 +202,7 @@
             this->result.outcomes[job].ending = Ending::OverRate;
             return;
         }
-        countFirstTry(this->hosts[this->jobs[job].host].retries);
+        countFirstAttempt(this->hosts[this->jobs[job].host].retries);
         this->route(job);
     }
 
@@ -210,7 +210,7 @@
     {
         const auto loadOf = [](const UpstreamEntry &entry) {
             return static_cast<std::int64_t>(entry.report.running + entry.report.queued)
-                    + entry.sentSince;
+                    + entry.sentSinceReport;
         };
         const auto least = std::min_element(table.entries.begin(), table.entries.end(),
                                             [&](const UpstreamEntry &a, const UpstreamEntry &b) {
@@ -226,8 +226,8 @@
         const UpstreamTable &table = this->hosts[job.host].table;
         std::vector<UpstreamId> refused;
         for (std::size_t attempt = 0; attempt < maxAttempts; ++attempt) {
-            const RouteAsk routeRequest{ this->baseModel, job.adapter,
-                                         stableHash(std::to_string(number)), refused };
+            const RouteRequest routeRequest{ this->baseModel, job.adapter,
+                                             stableHash(std::to_string(number)), refused };
             const std::optional<UpstreamId> chosen = this->isBaseline()
                     ? this->leastLoaded(table)
                     : chooseUpstream(table, routeRequest, this->now);
@@ -261,9 +261,9 @@
         request.latestStart = this->isBaseline()
                 ? job.deadline
                 : latestStart(managed.rate, request.cost, job.deadline);
-        request.since = this->now;
-        noteSent(this->hosts[job.host].table, managed.id, job.adapter, this->now);
-        if (!this->isBaseline() && this->isTooLate(managed, request)) {
+        request.queuedAt = this->now;
+        recordSent(this->hosts[job.host].table, managed.id, job.adapter, this->now);
+        if (!this->isBaseline() && this->isPermitTooLate(managed, request)) {
             noteEnded(this->hosts[job.host].table, managed.id);
             return false;
         }
@@ -274,7 +274,7 @@
     }
 
     /// Returns whether the request is expected to start after its latest start.
-    bool isTooLate(const CoordinatedEngine &managed, const WaitingRequest &request) const
+    bool isPermitTooLate(const CoordinatedEngine &managed, const WaitingRequest &request) const
     {
         const std::size_t slots = managed.engine.batchSlots;
         const std::size_t used = std::min(slots, managed.admitted.size());
@@ -340,8 +340,8 @@
                 return;
             const double pace = secondsPerGeneratedToken * managed.engine.slowness;
             const Tokens tokens{ static_cast<std::int64_t>(toSeconds(measuredTime) / pace) };
-            notePace(this->hosts[found->second.host].table, managed.id, tokens, measuredTime,
-                     std::nullopt, this->now);
+            recordPace(this->hosts[found->second.host].table, managed.id, tokens, measuredTime,
+                       std::nullopt, this->now);
         });
     }
 
@@ -370,9 +370,9 @@
                       job.prompt + job.generated);
         const Span slotTime = this->now - admitted.admittedAt;
         if (ending == Ending::Completed) {
-            noteService(managed.rate, admitted.charged, slotTime);
-            notePace(this->hosts[job.host].table, managed.id, job.generated, slotTime, slotTime,
-                     this->now);
+            recordSlotTime(managed.rate, admitted.charged, slotTime);
+            recordPace(this->hosts[job.host].table, managed.id, job.generated, slotTime, slotTime,
+                       this->now);
         }
         noteEnded(this->hosts[job.host].table, managed.id);
         this->end(number, ending);
@@ -406,7 +406,7 @@
     {
         std::uint32_t loads = 0;
         for (const CoordinatedEngine &managed : this->engines)
-            loads += managed.coordinator == coordinator ? loadsUnderWay(managed.adapters) : 0;
+            loads += managed.coordinator == coordinator ? loadsInFlight(managed.adapters) : 0;
         return loads;
     }
 
@@ -443,7 +443,7 @@
             LoadPacer &pacer = this->hosts[this->engines[index].coordinator].pacer;
             if (isLoad) {
                 endLoad(this->store);
-                noteLoadEnded(pacer, this->hosts.size(), this->now - orderedAt, this->now);
+                recordLoadEnd(pacer, this->hosts.size(), this->now - orderedAt, this->now);
             }
             if (this->engines[index].incarnation == incarnation)
                 this->finishOrder(index, step.adapter, isLoad);
@@ -514,7 +514,7 @@
         for (std::size_t index = 0; index < this->engines.size(); ++index) {
             CoordinatedEngine &managed = this->engines[index];
             endBackOffs(managed.adapters, this->charts.adapter, this->now);
-            forgetIdle(managed.queue);
+            dropIdleCustomers(managed.queue);
             for (const WaitingRequest &expired : takeExpired(managed.queue, this->now)) {
                 const std::size_t number = std::stoul(expired.request.value);
                 this->recordStall(managed, number, this->now);
--- a/benchmark/rate_shares/rate_shares.cpp
+++ b/benchmark/rate_shares/rate_shares.cpp
@@ -102,10 +102,10 @@
     scenario.policy = SharePolicy::Lending;
     scenario.pattern = BalancerPattern::OneHost;
     for (const double fraction : { 0.25, 0.5, 1.0 }) {
-        scenario.mostPerBorrower = fraction;
+        scenario.maxFractionPerBorrower = fraction;
         report(scenario, fmt::format("/borrower {}", fraction));
     }
-    scenario.mostPerBorrower = ShareSettings{}.mostPerBorrower;
+    scenario.maxFractionPerBorrower = ShareSettings{}.maxFractionPerBorrower;
     for (const double quantile : { 0.95, 0.8, 0.5 }) {
         scenario.reservedQuantile = quantile;
         report(scenario, fmt::format("/quantile {}", quantile));
@@ -121,7 +121,7 @@
     CLI::App app{ "Compares policies that divide a customer's rate and burst among the hosts" };
     std::uint64_t seed = 1;
     bool hasLargeFleets = false;
-    std::uint32_t owners = ShareSettings{}.layout.mostOwners;
+    std::uint32_t owners = ShareSettings{}.layout.maxOwners;
     app.add_option("--seed", seed, "Seed of arrivals, lengths and delays");
     app.add_flag("--large", hasLargeFleets, "Also simulate 60 and 390 hosts (takes minutes)");
     app.add_option("--owners", owners,
--- a/benchmark/rate_shares/share_simulation.cpp
+++ b/benchmark/rate_shares/share_simulation.cpp
@@ -56,7 +56,7 @@
 struct InFlight
 {
     std::size_t to = 0;
-    HostLife sender;
+    HostIncarnation sender;
     ShareBody body;
 };
 
@@ -77,7 +77,7 @@
     Instant now{ 0 };
     std::priority_queue<SimulationEvent> events;
     std::uint64_t order = 0;
-    std::vector<ShareHolder> hosts;
+    std::vector<RateShares> hosts;
     std::vector<CustomerId> ids;
     std::vector<std::vector<std::deque<std::size_t>>>
             waiting; ///< Request indices by host and customer.
@@ -118,15 +118,15 @@
 ShareSettings settingsFor(const ShareScenario &scenario)
 {
     ShareSettings settings;
-    settings.mostPerBorrower = scenario.mostPerBorrower;
-    settings.layout.mostOwners = scenario.maxOwners;
-    settings.silence = fromSeconds(1e6); // heartbeats are not simulated
+    settings.maxFractionPerBorrower = scenario.maxFractionPerBorrower;
+    settings.layout.maxOwners = scenario.maxOwners;
+    settings.reachableTimeout = fromSeconds(1e6); // heartbeats are not simulated
     if (scenario.policy == SharePolicy::StaticSplit) {
         settings.layout = LayoutSettings{ UINT32_MAX, 1 };
         settings.faults.forgetsFormerLoans = true; // no host lends
     }
     if (scenario.policy == SharePolicy::OneOwner)
-        settings.layout.mostOwners = 1;
+        settings.layout.maxOwners = 1;
     return settings;
 }
 
@@ -153,14 +153,15 @@
                 ShareTerms{ simulation.ids[index], customer.ratePerSecond, customer.burst });
     }
     for (const SeatId &seat : seats) {
-        const HostLife life{ HostId{ std::to_string(simulation.hosts.size()) }, Incarnation{ 1 } };
-        simulation.hosts.push_back(makeShareHolder(seat, life, &seatWeight, settingsFor(scenario)));
+        const HostIncarnation life{ HostId{ std::to_string(simulation.hosts.size()) },
+                                    Incarnation{ 1 } };
+        simulation.hosts.push_back(makeRateShares(seat, life, &seatWeight, settingsFor(scenario)));
         setTerms(simulation.hosts.back(), TicketNumber{ 1 }, zones, terms, simulation.now);
     }
-    for (ShareHolder &host : simulation.hosts) {
-        for (const ShareHolder &other : simulation.hosts) {
+    for (RateShares &host : simulation.hosts) {
+        for (const RateShares &other : simulation.hosts) {
             if (&host != &other && scenario.policy >= SharePolicy::OneOwner)
-                noteSeat(host, other.seat, other.self, simulation.now);
+                recordContact(host, other.seat, other.self, simulation.now);
         }
     }
     simulation.waiting.assign(seats.size(),
@@ -170,7 +171,7 @@
 }
 
 /// Returns the rate shares that admit requests at \a host.
-ShareHolder &sharesFor(Simulation &simulation, std::size_t host)
+RateShares &sharesFor(Simulation &simulation, std::size_t host)
 {
     const bool isCentral = simulation.scenario.policy == SharePolicy::Central;
     return simulation.hosts[isCentral ? 0 : host];
@@ -183,7 +184,7 @@
 
 void sendAll(Simulation &simulation, std::size_t from, const std::vector<ShareOutgoing> &out)
 {
-    const ShareHolder &sender = simulation.hosts[from];
+    const RateShares &sender = simulation.hosts[from];
     for (const ShareOutgoing &message : out) {
         const std::size_t to = std::stoul(message.to.value);
         const bool isNear = simulation.hosts[to].seat.zone == sender.seat.zone;
@@ -259,8 +260,8 @@
 void requestLoans(Simulation &simulation, std::size_t host, std::size_t customer)
 {
     std::vector<ShareOutgoing> out;
-    seekTokens(sharesFor(simulation, host), simulation.ids[customer],
-               waitingTokens(simulation, host, customer), simulation.now, out);
+    requestTokens(sharesFor(simulation, host), simulation.ids[customer],
+                  waitingTokens(simulation, host, customer), simulation.now, out);
     sendAll(simulation, host, out);
 }
 
@@ -346,7 +347,7 @@
     std::deque<std::size_t> &queue = simulation.waiting[host][customer];
     if (queue.empty() && tryStart(simulation, simulation.requests.size() - 1))
         return;
-    ShareHolder &shares = sharesFor(simulation, host);
+    RateShares &shares = sharesFor(simulation, host);
     const Instant expected = expectedAt(shares, simulation.ids[customer],
                                         Tokens{ request.reserved }, simulation.now);
     if (expected > simulation.now + waitTimeout) {
@@ -376,7 +377,7 @@
 void onTick(Simulation &simulation, std::size_t host)
 {
     std::vector<ShareOutgoing> out;
-    tendShares(simulation.hosts[host], simulation.now, out);
+    pollShares(simulation.hosts[host], simulation.now, out);
     sendAll(simulation, host, out);
     for (std::size_t customer = 0; customer < simulation.ids.size(); ++customer)
         admitWaiting(simulation, host, customer);
--- a/benchmark/rate_shares/share_simulation.h
+++ b/benchmark/rate_shares/share_simulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "azurewell/limits/share_holder.h"
+#include "azurewell/limits/rate_shares.h"
 
 #include <cstdint>
 #include <queue>
@@ -42,8 +42,8 @@
     SharePolicy policy = SharePolicy::Lending;
     /// Quantile of recent answer lengths to reserve; 1 reserves max_tokens.
     double reservedQuantile = 1.0;
-    double mostPerBorrower = ShareSettings{}.mostPerBorrower;
-    std::uint32_t maxOwners = LayoutSettings{}.mostOwners;
+    double maxFractionPerBorrower = ShareSettings{}.maxFractionPerBorrower;
+    std::uint32_t maxOwners = LayoutSettings{}.maxOwners;
     Span length = fromSeconds(70);
     std::uint64_t seed = 1;
 };
--- a/packages/calls/include/azurewell/calls/call_ledger.h
+++ b/packages/calls/include/azurewell/calls/call_ledger.h
@@ -115,7 +115,7 @@
 /// 26 a second; if a tenth of them are not idempotent, this holds 52 minutes of calls.
 inline constexpr std::size_t maxCallRecords = 8192;
 /// A longer answer body is not stored; a repeat then gets "already done" without it.
-inline constexpr std::size_t longestHeldAnswer = 4096;
+inline constexpr std::size_t maxHeldAnswerBytes = 4096;
 inline constexpr std::size_t maxTotalAnswerBytes = 1U << 20;
 /// How long the record of a finished call is kept if the size limits allow.
 inline constexpr Span callRetention = fromSeconds(3600);
--- a/packages/calls/src/call_ledger.cpp
+++ b/packages/calls/src/call_ledger.cpp
@@ -110,7 +110,7 @@
 void storeAnswer(CallLedger &ledger, const OutcomeReport &report, std::uint64_t sequence,
                  CallRecord &record)
 {
-    if (report.answer.status == 0 || report.answer.body.size() > longestHeldAnswer)
+    if (report.answer.status == 0 || report.answer.body.size() > maxHeldAnswerBytes)
         return;
     record.answer = report.answer;
     ledger.answerBytes += record.answer.body.size();
--- a/packages/calls/tests/call_ledger_test.cpp
+++ b/packages/calls/tests/call_ledger_test.cpp
@@ -147,7 +147,7 @@
     EXPECT_EQ(fixture.ask(number, "b"), PermitVerdict::Expired);
     EXPECT_EQ(fixture.ledger.records, 0U);
     EXPECT_EQ(fixture.ledger.answerBytes, 0U);
-    const std::string large(longestHeldAnswer, 'x');
+    const std::string large(maxHeldAnswerBytes, 'x');
     for (int call = 0; call < 1000; ++call) {
         const CallNumber next = issueCallNumber(fixture.ledger, customer);
         const std::string request = std::to_string(call);
--- a/packages/fleet/include/azurewell/fleet/keeper_views.h
+++ b/packages/fleet/include/azurewell/fleet/coordinator_views.h
@@ -17,7 +17,7 @@
 inline constexpr Span unloadTimeout = fromSeconds(1);
 /// How long an abandoned order can still be in transit: in the network or in the engine's accept
 /// queue when the connection is closed.
-inline constexpr Span orderFlight = fromSeconds(0.5);
+inline constexpr Span maxOrderTransit = fromSeconds(0.5);
 /// Fraction by which the relying host shortens a promise, to allow for clock drift.
 inline constexpr double promiseDriftMargin = 0.02;
 
--- a/packages/fleet/src/codec.cpp
+++ b/packages/fleet/src/codec.cpp
@@ -320,7 +320,7 @@
 
     const std::uint32_t length = static_cast<std::uint32_t>(payload.size());
     std::string frame;
-    frame.reserve(frameHeadBytes + payload.size());
+    frame.reserve(frameHeaderBytes + payload.size());
     for (int shift = 24; shift >= 0; shift -= 8)
         frame.push_back(static_cast<char>((length >> shift) & 0xff));
     frame += payload;
@@ -350,9 +350,9 @@
 Result<std::uint32_t> frameLength(std::string_view head)
 {
     std::uint32_t length = 0;
-    for (std::size_t index = 0; index < frameHeadBytes; ++index)
+    for (std::size_t index = 0; index < frameHeaderBytes; ++index)
         length = (length << 8) | static_cast<unsigned char>(head[index]);
-    if (length > longestFrame)
+    if (length > maxFrameBytes)
         return Error{ ResultCode::MessageInvalid,
                       "frame too long: " + std::to_string(length) + " bytes" };
     return length;
--- a/packages/fleet/tests/codec_shares_test.cpp
+++ b/packages/fleet/tests/codec_shares_test.cpp
@@ -11,7 +11,7 @@
 {
     const std::string frame = encodeFrame(PeerMessage{ HostId{ "h" }, Incarnation{ 7 }, body });
     const Result<PeerMessage> message = decodePayload(
-            std::string_view(frame).substr(frameHeadBytes));
+            std::string_view(frame).substr(frameHeaderBytes));
     return std::get<Body>(message.value().body);
 }
 
--- a/packages/fleet/tests/codec_test.cpp
+++ b/packages/fleet/tests/codec_test.cpp
@@ -13,9 +13,9 @@
     const std::string frame = encodeFrame(message);
     const Result<std::uint32_t> length = frameLength(frame);
     EXPECT_TRUE(length);
-    EXPECT_EQ(length.value() + frameHeadBytes, frame.size());
+    EXPECT_EQ(length.value() + frameHeaderBytes, frame.size());
     const Result<PeerMessage> decoded = decodePayload(
-            std::string_view(frame).substr(frameHeadBytes));
+            std::string_view(frame).substr(frameHeaderBytes));
     EXPECT_TRUE(decoded);
     return decoded.value();
 }
--- a/packages/fleet/tests/keeper_views_test.cpp
+++ b/packages/fleet/tests/coordinator_views_test.cpp
@@ -1,4 +1,4 @@
-#include "azurewell/fleet/keeper_views.h"
+#include "azurewell/fleet/coordinator_views.h"
 
 #include <gtest/gtest.h>
 
--- a/packages/gateway/include/azurewell/gateway/adapter_uses.h
+++ b/packages/gateway/include/azurewell/gateway/adapter_uses.h
@@ -17,7 +17,8 @@
 {
     std::uint32_t running = 0; ///< Requests in progress.
     std::uint32_t begun = 0;   ///< Requests started since the last report to the coordinator.
-    bool isTold = false;       ///< The coordinator has the adapter recorded as in use by this host.
+    bool isReportedInUse
+            = false; ///< The coordinator has the adapter recorded as in use by this host.
 };
 
 using OwnUses = std::map<AdapterPlace, OwnUse>;
@@ -29,13 +30,13 @@
 std::vector<AdapterUse> takeUntold(OwnUses &uses, const UpstreamId &engine);
 
 /// Uses of one engine's adapters as reported by other hosts; each holds until the given time.
-using OtherUses = std::map<AdapterRef, std::map<HostId, Instant>>;
+using RemoteUses = std::map<AdapterRef, std::map<HostId, Instant>>;
 
 /// Records that \a host uses \a adapter, or no longer does. The host repeats its report every
 /// \a reportInterval.
-void noteOtherUse(OtherUses &uses, const AdapterRef &adapter, const HostId &host, bool isRunning,
-                  Span reportInterval, Instant now);
+void recordRemoteUse(RemoteUses &uses, const AdapterRef &adapter, const HostId &host,
+                     bool isRunning, Span reportInterval, Instant now);
 
-bool isUsedElsewhere(const OtherUses &uses, const AdapterRef &adapter, Instant now);
+bool isUsedElsewhere(const RemoteUses &uses, const AdapterRef &adapter, Instant now);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/choose_upstream.h
+++ b/packages/gateway/include/azurewell/gateway/choose_upstream.h
@@ -62,7 +62,7 @@
 /// engine held is loaded in the caller's zone: most adapters are requested once or twice, and their
 /// prompts need not cross zones.
 const Upstream *chooseEngineToLoad(const UpstreamMap &upstreams, const UpstreamNeed &need,
-                                   const LastEngines &lastHolders, std::uint32_t adapterPlaces,
+                                   const LastEngines &lastEngines, std::uint32_t maxLoadedAdapters,
                                    Instant now);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/configuration.h
+++ b/packages/gateway/include/azurewell/gateway/configuration.h
@@ -34,12 +34,12 @@
     std::string host;
     std::string prefix; ///< Begins and ends with a slash.
     RepeatPolicy repeat = RepeatPolicy::NonIdempotent;
-    bool isResumable = false;   ///< A broken stream may be resumed at another upstream.
-    bool isPublic = false;      ///< Requires no key.
-    Span timeout{};             ///< The caller gets a final answer within this time.
-    Span objective{};           ///< Target time to the answer (of a stream: to its first event).
-    std::uint32_t priority = 0; ///< 0 is the most urgent.
-    std::uint32_t mostAttempts = 1; ///< Maximum number of upstreams at which one request may run.
+    bool isResumable = false;      ///< A broken stream may be resumed at another upstream.
+    bool isPublic = false;         ///< Requires no key.
+    Span timeout{};                ///< The caller gets a final answer within this time.
+    Span objective{};              ///< Target time to the answer (of a stream: to its first event).
+    std::uint32_t priority = 0;    ///< 0 is the most urgent.
+    std::uint32_t maxAttempts = 1; ///< Maximum number of upstreams at which one request may run.
     std::vector<WeightedService> services;
 };
 
@@ -54,8 +54,8 @@
 /// Limits that the engines of a service share.
 struct EngineLimits
 {
-    std::uint32_t batchSlots = 1;    ///< Requests that run concurrently.
-    std::uint32_t adapterPlaces = 0; ///< Adapters on the engine, including loading ones.
+    std::uint32_t batchSlots = 1;        ///< Requests that run concurrently.
+    std::uint32_t maxLoadedAdapters = 0; ///< Adapters on the engine, including loading ones.
     double weightMegabytes = 0;
     double baseLoadsPerSecond = 1; ///< Rate of the weight store over all engines.
     std::vector<BaseModel> models;
@@ -65,7 +65,7 @@
 {
     ServiceId id;
     std::string healthPath;
-    std::uint32_t mostConnections = 0;  ///< To one upstream, from all hosts together.
+    std::uint32_t maxConnections = 0;   ///< To one upstream, from all hosts together.
     std::optional<EngineLimits> engine; ///< Empty for a plain service.
 };
 
@@ -76,8 +76,8 @@
     std::vector<KeyHash> keys;
     TokenRate rate; ///< 0: no limit.
     Tokens burst;
-    bool countsTokens = false; ///< If false, each request counts as 1.
-    Tokens tokensWithoutWord;  ///< Cost of a request that states no tokens.
+    bool countsTokens = false;   ///< If false, each request counts as 1.
+    Tokens defaultRequestTokens; ///< Cost of a request that states no tokens.
 };
 
 /// Limits on what callers may send.
@@ -85,8 +85,8 @@
 {
     std::uint32_t headBytes = 16 * 1024;
     std::uint64_t bodyBytes = 4ULL * 1024 * 1024;
-    Span headPatience = std::chrono::seconds(3);
-    Span idlePatience = std::chrono::seconds(15);
+    Span headTimeout = std::chrono::seconds(3);
+    Span idleTimeout = std::chrono::seconds(15);
 };
 
 /// One complete version of the operator's configuration.
--- a/packages/gateway/include/azurewell/gateway/crash_quarantine.h
+++ b/packages/gateway/include/azurewell/gateway/crash_quarantine.h
@@ -22,7 +22,7 @@
     auto operator<=>(const UpstreamIncarnation &) const = default;
 };
 
-UpstreamIncarnation lifeOf(const Upstream &upstream);
+UpstreamIncarnation incarnationOf(const Upstream &upstream);
 
 /// An upstream closed the connection of a request before answering, so the request may have crashed
 /// it.
@@ -66,8 +66,9 @@
     /// Time of the latest suspicion of each incarnation.
     std::map<UpstreamIncarnation, Instant> suspectedIncarnations;
     std::vector<PendingSuspicion> pending;
-    std::uint64_t noted = 0;   ///< Suspicions recorded since the process started.
-    std::uint64_t refuted = 0; ///< Of these, the ones refuted because the incarnation kept running.
+    std::uint64_t suspicionsRecorded = 0; ///< Suspicions recorded since the process started.
+    std::uint64_t suspicionsRefuted
+            = 0; ///< Of these, the ones refuted because the incarnation kept running.
 };
 
 /// A request is quarantined once this many incarnations of upstreams may have crashed while running
@@ -107,7 +108,7 @@
 void clearSuspicions(CrashQuarantine &quarantine, const RequestDigest &digest);
 
 /// Removes expired suspects and quarantines. Call at each tick.
-void forgetLapsed(CrashQuarantine &quarantine, Instant now);
+void removeExpiredSuspicions(CrashQuarantine &quarantine, Instant now);
 
 /// Returns the suspicions that a newly joined host needs: those of requests that are quarantined or
 /// one crash away from it.
--- a/packages/gateway/include/azurewell/gateway/events.h
+++ b/packages/gateway/include/azurewell/gateway/events.h
@@ -33,7 +33,7 @@
 };
 
 /// The caller closed its connection.
-struct CallerLeft
+struct CallerDisconnected
 {
     RequestNumber request;
 };
@@ -54,8 +54,8 @@
     RequestNumber request;
     std::uint32_t attempt = 0;
     AttemptOutcome outcome = AttemptOutcome::Done;
-    bool hasAnswerBegun = false; ///< A part of the answer was sent to the caller.
-    bool isCutOff = false;       ///< The connection ended before the answer was complete.
+    bool hasAnswerStarted = false; ///< A part of the answer was sent to the caller.
+    bool isCutOff = false;         ///< The connection ended before the answer was complete.
 };
 
 /// The first byte of an answer's body was received.
@@ -85,14 +85,14 @@
 struct ReportRead
 {
     UpstreamId engine;
-    Instant askedAt;
+    Instant queriedAt;
     std::optional<EngineState> state; ///< Empty: no usable answer.
 };
 
 /// How an engine answered an order.
 enum class OrderOutcome : std::uint8_t {
     Taken,       ///< Accepted; in progress.
-    HeldAlready, ///< There was nothing to do.
+    AlreadyDone, ///< There was nothing to do.
     Refused,     ///< Not carried out.
     Unknown,     ///< No answer; the order may have been accepted.
 };
@@ -128,7 +128,7 @@
     std::uint64_t adapterVersion = 0; ///< Required version of the adapter; 0: any.
     Span allowed{};
     /// Buffer the whole answer before forwarding it, so that a broken one can be replaced.
-    bool isHeldBack = false;
+    bool isBuffered = false;
 };
 
 /// Cancel the current attempt of a request.
@@ -149,7 +149,7 @@
 };
 
 /// Query an engine for its report.
-struct AskReport
+struct QueryReport
 {
     UpstreamId engine;
     Endpoint address;
@@ -164,7 +164,7 @@
 };
 
 /// A log line that lets an operator reconstruct a decision.
-struct Note
+struct LogEvent
 {
     std::string event;
     std::vector<std::pair<std::string, std::string>> fields;
@@ -177,9 +177,9 @@
     std::vector<Dispatch> dispatches;
     std::vector<CancelAttempt> cancels;
     std::vector<OrderEngine> orders;
-    std::vector<AskReport> reports;
+    std::vector<QueryReport> reports;
     std::vector<SendGossip> gossip;
-    std::vector<Note> notes;
+    std::vector<LogEvent> logEvents;
 };
 
 } // namespace azurewell::gateway
--- a/packages/gateway/include/azurewell/gateway/gateway.h
+++ b/packages/gateway/include/azurewell/gateway/gateway.h
@@ -11,9 +11,9 @@
 #include "azurewell/gateway/order_rights.h"
 #include "azurewell/gateway/permit_pacer.h"
 #include "azurewell/gateway/platform_reader.h"
+#include "azurewell/gateway/prefill_rate.h"
 #include "azurewell/gateway/prompt_pacing.h"
 #include "azurewell/gateway/published.h"
-#include "azurewell/gateway/reading_rate.h"
 #include "azurewell/gateway/zone_relay.h"
 #include "azurewell/placement/engine_adapters.h"
 #include "azurewell/routing/retry_budget.h"
@@ -38,8 +38,8 @@
     std::uint64_t randomSeed = 0;
     MeterLimits meterLimits;
     Span stopGrace{}; ///< Time from the stop request until the process is killed.
-    Span inForceWithin = std::chrono::seconds(2); ///< Propagation limit of confirmed changes.
-    std::uint32_t linkMbps = 0;                   ///< Bandwidth of this machine's link; 0: unknown.
+    Span propagationTimeout = std::chrono::seconds(2); ///< Propagation limit of confirmed changes.
+    std::uint32_t linkMbps = 0;  ///< Bandwidth of this machine's link; 0: unknown.
     std::vector<Endpoint> seeds; ///< Hosts that may know other hosts; may be stale.
 };
 
@@ -49,7 +49,7 @@
 };
 
 /// State of the admission request that was sent to the engine's coordinator.
-enum class PromptTurnState : std::uint8_t { NotRequested, Asked, Answered };
+enum class PromptAdmissionState : std::uint8_t { NotRequested, AwaitingAnswer, Answered };
 
 /// Time at which a prompt may be sent to an engine.
 struct EngineAdmission
@@ -62,13 +62,13 @@
 /// A caller's request while this host processes it.
 struct RequestRecord
 {
-    RequestArrived asked;
+    RequestArrived arrivedRequest;
     CustomerId customer;
     RequestDigest digest;
     ServiceId service;
     RepeatPolicy repeat = RepeatPolicy::NonIdempotent;
     bool isResumable = false;
-    std::uint32_t mostAttempts = 1;
+    std::uint32_t maxAttempts = 1;
     Instant arrivedAt;
     Instant deadline; ///< The caller gets a final answer by this time.
     RequestPhase phase = RequestPhase::Waiting;
@@ -77,23 +77,24 @@
     Instant sentAt;
     bool isEngineIdle = false; ///< Few other prompts were queued when the request was sent.
     std::uint32_t attempt = 0;
-    std::uint32_t mayHaveRun = 0; ///< Number of attempts after which the request may have run.
+    std::uint32_t possibleRuns = 0; ///< Number of attempts after which the request may have run.
     std::set<UpstreamId> excluded;
-    bool hasAnswerBegun = false;
+    bool hasAnswerStarted = false;
     bool isEarlyAttempt = false; ///< Sent before a report shows that its adapter is loaded.
-    PromptTurnState turn = PromptTurnState::NotRequested;
+    PromptAdmissionState admissionState = PromptAdmissionState::NotRequested;
     UpstreamId admissionEngine;                    ///< The engine that admission was requested for.
     std::optional<EngineAdmission> firstAdmission; ///< Set while a second engine is asked.
     bool isPermit = false; ///< The admission counts against the rate limit of the upstream.
     Span permitWait{};     ///< Shortest wait for a permit that came too late; 0: none did.
-    Instant turnAt; ///< When the prompt may be sent; while the request is unanswered: its timeout.
+    Instant admissionAt;   ///< When the prompt may be sent; while the request is unanswered: its
+                           ///< timeout.
 };
 
 /// A load that requests of this host wait for.
 struct AwaitedLoad
 {
     UpstreamId engine;
-    Instant askAgainAt;    ///< When the load request is sent again, as messages may be lost.
+    Instant resendAt;      ///< When the load request is sent again, as messages may be lost.
     Instant otherEngineAt; ///< When another engine is asked instead.
     std::set<UpstreamId> refusedBy;
 };
@@ -108,7 +109,7 @@
     PromptPacer pacer;
     PermitPacer permits;
     std::map<AdapterRef, Instant> awaitedUntil; ///< Kept for waiting requests until this time.
-    OtherUses otherUses; ///< Adapters that other hosts use at this engine; they are not evicted.
+    RemoteUses remoteUses; ///< Adapters that other hosts use at this engine; they are not evicted.
     std::deque<ModelName> wanted;                ///< Loads to order, oldest first.
     std::deque<AdapterRef> adaptersInHostMemory; ///< Newest first; the engine loads these faster.
     std::optional<ModelName> pendingOrder;       ///< An order that the engine has not answered yet.
@@ -116,7 +117,8 @@
     Instant reportRequestedAt;
     Instant nextReportAt;
     Instant nextBaseOrderAt; ///< When the base model is ordered again if it is still missing.
-    std::map<HostId, Instant> awaitedBy; ///< Hosts of other zones awaiting loads, with expiry.
+    std::map<HostId, Instant>
+            requestingHosts; ///< Hosts of other zones awaiting loads, with expiry.
 };
 
 /// Caches the coordinator of each engine until the set of live hosts changes. Ranking 86 hosts for
@@ -133,10 +135,10 @@
 };
 
 /// Published changes that other hosts have and this host does not.
-struct Behind
+struct RevisionLag
 {
-    std::uint64_t upTo = 0; ///< Highest revision that another host has.
-    Instant since;          ///< When this host was first known to lag behind.
+    std::uint64_t latestRevision = 0; ///< Highest revision that another host has.
+    Instant since;                    ///< When this host was first known to lag behind.
 };
 
 /// Event counts since the start of the process; published as metrics.
@@ -147,12 +149,12 @@
     std::uint64_t requests = 0;
     std::uint64_t dispatched = 0;
     std::uint64_t answered = 0;
-    std::uint64_t callersLeft = 0;
+    std::uint64_t callersDisconnected = 0;
     std::uint64_t loadsOrdered = 0;
     std::uint64_t unloadsOrdered = 0;
     std::uint64_t baseLoadsOrdered = 0;
     SentCounts sent;               ///< Messages to other hosts.
-    std::uint64_t engineLooks = 0; ///< How often engines were polled for due work.
+    std::uint64_t enginePolls = 0; ///< How often engines were polled for due work.
     std::uint64_t gossipReceived = 0;
 };
 
@@ -174,13 +176,14 @@
     std::vector<PublishedItem> undecoded; ///< From other hosts; the platform adapter decodes them.
     Members members;
     CoordinatorCache coordinators;
-    std::set<UpstreamId> sentTo;  ///< Upstreams that recently got prompts from this host.
-    std::set<UpstreamId> newWork; ///< Engines with prompts that were not yet sent as updates.
-    Instant nextAskForChangesAt;
+    std::set<UpstreamId> recentUpstreams; ///< Upstreams that recently got prompts from this host.
+    std::set<UpstreamId>
+            enginesWithNewPrompts; ///< Engines with prompts that were not yet sent as updates.
+    Instant nextChangesRequestAt;
     PlatformReader platformReader;
     PlatformView platform = PlatformView::NotRead;
     Instant platformFailedAt; ///< Time of the platform's last failure; zero: none.
-    Behind behind;
+    RevisionLag revisionLag;
 
     std::map<CustomerId, CustomerMeter> meters;
     std::map<ServiceId, RetryBudget> retryBudgets;
@@ -190,11 +193,11 @@
     std::unordered_map<RequestNumber, RequestRecord> requests;
     std::set<RequestNumber> waiting; ///< Requests in RequestPhase::Waiting.
     std::map<ModelName, AwaitedLoad> awaitedLoads;
-    LastEngines lastHolders;
+    LastEngines lastEngines;
     std::map<ServiceId, PrefillRate> prefillRates;
     std::map<std::string, LoadTimes> loadTimes; ///< Load times of adapters, by base model.
     std::map<UpstreamId, OrderedEngine> engines;
-    DeadlineQueue<UpstreamId> engineLooks;   ///< Next time at which each engine is polled.
+    DeadlineQueue<UpstreamId> enginePolls;   ///< Next time at which each engine is polled.
     std::uint64_t enginePollsGeneration = 0; ///< Generation of the members when last polled.
     std::set<UpstreamId> ownEngines;         ///< Engines for which this host ranks first.
     std::set<UpstreamId> changedEngines; ///< Engines whose changes have to be sent to other hosts.
@@ -205,14 +208,14 @@
     std::map<ModelName, DecayedSum>
             adapterDemand; ///< Prompt tokens that callers of this host sent, by adapter.
 
-    HostId lastMemberTold; ///< Members are sent in rotation; this is the last one of the previous
+    HostId lastMemberSent; ///< Members are sent in rotation; this is the last one of the previous
                            ///< message.
     Instant nextTidyAt;
     Instant nextRemovalCheckAt;
     Instant nextUsesAt; ///< Next update on customers near their limit, in a large fleet.
     ZoneRelay relay;
-    Instant nextOwnNewsAt;                 ///< When the full state is next sent to the other zones.
-    std::map<CustomerId, double> toldUses; ///< Admitted tokens as last sent to a relay.
+    Instant nextFullUpdateAt;              ///< When the full state is next sent to the other zones.
+    std::map<CustomerId, double> sentUses; ///< Admitted tokens as last sent to a relay.
     Instant nextSeedsAt;
     FencingNumber highestFencing;
     Counters counters;
@@ -223,7 +226,7 @@
 /// Handle one event of the shell. \a wallMillis is the wall clock in ms since 1970. It is used for
 /// fencing numbers only, which tolerate clock steps.
 void handle(GatewayState &state, const RequestArrived &event, Instant now, Actions &actions);
-void handle(GatewayState &state, const CallerLeft &event, Instant now, Actions &actions);
+void handle(GatewayState &state, const CallerDisconnected &event, Instant now, Actions &actions);
 void handle(GatewayState &state, const AnswerBegan &event, Instant now, Actions &actions);
 void handle(GatewayState &state, const AttemptEnded &event, Instant now, Actions &actions);
 void handle(GatewayState &state, const LoadStated &event, Instant now);
--- a/packages/gateway/include/azurewell/gateway/gossip.h
+++ b/packages/gateway/include/azurewell/gateway/gossip.h
@@ -19,7 +19,7 @@
 };
 
 /// The state of an engine that the sender coordinates.
-struct EngineNews
+struct EngineUpdate
 {
     UpstreamId engine;
     EngineState state; ///< `seenAt` is in the receiver's time, from the age in the message.
@@ -34,7 +34,7 @@
     std::uint32_t begun = 0; ///< Requests started since the last update.
 };
 
-/// Prompt tokens that the sender recently sent to an engine, decayed over promptLife.
+/// Prompt tokens that the sender recently sent to an engine, decayed over promptDecayTime.
 struct PromptWork
 {
     UpstreamId engine;
@@ -42,17 +42,17 @@
 };
 
 /// Requests a prompt admission from the coordinator of an engine (see prompt_pacing.h).
-struct PromptAsk
+struct AdmissionRequest
 {
     UpstreamId engine;
     ModelName adapter;
     std::uint64_t request = 0; ///< Request number at the requesting host.
     double tokens = 0;
-    bool isGivenBack = false; ///< Returns an admission that is not used.
+    bool isReturned = false; ///< Returns an admission that is not used.
     double limit = 0; ///< Rate limit stated by the upstream, in requests per second; 0: none.
 };
 
-struct PromptAnswer
+struct AdmissionReply
 {
     std::uint64_t request = 0;
     Span wait{};
@@ -133,12 +133,12 @@
 };
 
 /// Updates of a host that another host relays.
-struct RelayedNews
+struct RelayedUpdate
 {
     HostId origin;
     Incarnation incarnation;
     std::vector<CustomerUse> uses;
-    std::vector<EngineNews> engines;
+    std::vector<EngineUpdate> engines;
     std::vector<CrashSuspicion> crashes;
     std::vector<UpstreamLimit> limits;
 };
@@ -159,14 +159,14 @@
     FencingNumber highestFencing;
     std::uint32_t linkMbps = 0; ///< Link speed of the sender in Mbit/s; 0: unknown.
     RelayScope relayTo = RelayScope::None;
-    std::vector<RelayedNews> relayed;
+    std::vector<RelayedUpdate> relayed;
     std::vector<MemberUpdate> members;
     std::vector<CustomerUse> uses;
-    std::vector<EngineNews> engines;
+    std::vector<EngineUpdate> engines;
     std::vector<AdapterUse> adapterUses;
     std::vector<PromptWork> promptWork;
-    std::vector<PromptAsk> promptAsks;
-    std::vector<PromptAnswer> promptAnswers;
+    std::vector<AdmissionRequest> admissionRequests;
+    std::vector<AdmissionReply> admissionReplies;
     std::vector<LoadRequest> loadRequests;
     std::vector<LoadRefusal> loadRefusals;
     std::vector<PublishedChanges> changes; ///< At most one.
--- a/packages/gateway/include/azurewell/gateway/members.h
+++ b/packages/gateway/include/azurewell/gateway/members.h
@@ -47,7 +47,7 @@
 };
 
 /// If two calls of updateMembers() are further apart than this, the process was paused in between.
-inline constexpr Span pausedAfter = std::chrono::milliseconds(300);
+inline constexpr Span pauseThreshold = std::chrono::milliseconds(300);
 
 /// A member is removed if no message was received for this long. Until then it may be alive behind
 /// a network partition, using its share of the customers' rates and its orders to engines.
@@ -66,7 +66,7 @@
 struct HeartbeatPlan
 {
     Span inZone = minHeartbeatInterval;
-    Span elsewhere = minHeartbeatInterval;
+    Span inOtherZones = minHeartbeatInterval;
     Span timeoutInZone = minHeartbeatTimeout;
     Span timeoutElsewhere = minHeartbeatTimeout;
 };
@@ -80,7 +80,7 @@
     DeadlineQueue<HostId> checks;     ///< When each member may time out or is due for removal.
     DeadlineQueue<HostId> heartbeats; ///< When this host sends each member the next heartbeat.
     bool isPlanStale = false; ///< Hosts were added, removed or moved since `plan` was computed.
-    Instant lookedAt;         ///< Time of the last updateMembers().
+    Instant lastUpdateAt;     ///< Time of the last updateMembers().
     Instant changedAt;        ///< When a host last became reachable or unreachable, or this process
                               ///< resumed after a pause.
     std::uint64_t generation = 1; ///< Incremented when the set of live hosts may have changed.
@@ -95,7 +95,7 @@
 /// Returns the interval of heartbeats to \a member.
 Span heartbeatInterval(const Members &members, const Member &member);
 
-bool isHeard(const Members &members, const Member &member, Instant now);
+bool isMemberReachable(const Members &members, const Member &member, Instant now);
 
 /// Records a message received from \a member. Returns false if it is of an earlier incarnation than
 /// the known one.
@@ -110,7 +110,7 @@
 void updateMembers(Members &members, Instant now);
 
 /// Returns the number of other hosts that are reachable and not leaving.
-std::size_t countHeard(const Members &members, Instant now);
+std::size_t countReachable(const Members &members, Instant now);
 
 /// Whether the majority of the reachable other hosts have been running since \a then.
 bool haveMostRunSince(const Members &members, Instant then, Instant now);
@@ -121,14 +121,14 @@
 
 /// Whether a host that did not announce that it leaves is unreachable. It may be alive behind a
 /// network partition.
-bool isAnySilent(const Members &members, Instant now);
+bool isAnyUnreachable(const Members &members, Instant now);
 
 /// Returns the hosts of \a zone, including this one, that may coordinate there, ordered by their
 /// rank for \a key and followed by the hosts of other zones. Unreachable hosts are included.
 std::vector<HostId> rankedHosts(const Members &members, const ZoneId &zone, std::string_view key);
 
 /// Returns the first of rankedHosts() that is alive.
-HostId firstAlive(const Members &members, const ZoneId &zone, std::string_view key, Instant now);
+HostId firstLiveHost(const Members &members, const ZoneId &zone, std::string_view key, Instant now);
 
 /// Whether \a host is this one, or is reachable from this host or from another one.
 bool isAlive(const Members &members, const HostId &host, Instant now);
--- a/packages/gateway/include/azurewell/gateway/message_kind.h
+++ b/packages/gateway/include/azurewell/gateway/message_kind.h
@@ -10,19 +10,19 @@
 /// counters and is not part of the message.
 enum class MessageKind : std::uint8_t {
     Heartbeat,
-    EngineNews,
+    EngineUpdate,
     CustomerUses,
     AdapterUses,
-    PromptAsk,
-    PromptAnswer,
+    AdmissionRequest,
+    AdmissionReply,
     LoadRequest,
     LoadRefusal,
     ChangesRequest,
     Changes,
     ToSeed,
-    RelayRequest, ///< Updates to relay.
-    RelayedNews,  ///< Relayed updates.
-    RelayAnswer,  ///< Shows that the relay is alive.
+    RelayRequest,  ///< Updates to relay.
+    RelayedUpdate, ///< Relayed updates.
+    RelayAnswer,   ///< Shows that the relay is alive.
     CrashSuspicions,
     UpstreamLimits,
 };
@@ -42,7 +42,7 @@
 struct SentByZone
 {
     SentCount inZone;
-    SentCount elsewhere;
+    SentCount inOtherZones;
 };
 
 using SentCounts = std::map<MessageKind, SentByZone>;
--- a/packages/gateway/include/azurewell/gateway/order_rights.h
+++ b/packages/gateway/include/azurewell/gateway/order_rights.h
@@ -29,7 +29,7 @@
     Instant confirmedAt;    ///< The newest report that showed no order of another host.
     Instant lastOrderAt;    ///< Last order of this host that the engine accepted.
     FencingNumber fencing;  ///< Fencing number of the current period of ordering.
-    bool isHolding = false;
+    bool isCoordinating = false;
 };
 
 /// How long the order count must be unchanged before another host starts to order. Orders of two
--- a/packages/gateway/include/azurewell/gateway/platform_reader.h
+++ b/packages/gateway/include/azurewell/gateway/platform_reader.h
@@ -14,7 +14,7 @@
 enum class ReadFailure : std::uint8_t {
     NoAnswer,         ///< No complete answer within the call's timeout.
     ConnectionFailed, ///< The connection was refused, reset or closed.
-    TurnedAway,       ///< The store answered with an error status.
+    Rejected,         ///< The store answered with an error status.
     Unreadable,       ///< The body violates the store's protocol.
 };
 
@@ -56,8 +56,8 @@
 /// A call to make now.
 struct ReadCall
 {
-    Span wait{};      ///< For a watch: how long the store may hold it; 0 for a listing.
-    Instant giveUpAt; ///< The call counts as failed at this time.
+    Span wait{};          ///< For a watch: how long the store may hold it; 0 for a listing.
+    Instant callDeadline; ///< The call counts as failed at this time.
 };
 
 /// Returns the call that is due, if any. A watch waits at the store for changes, a listing does
--- a/packages/gateway/include/azurewell/gateway/prompt_pacing.h
+++ b/packages/gateway/include/azurewell/gateway/prompt_pacing.h
@@ -7,7 +7,7 @@
 namespace azurewell::gateway {
 
 /// Decay time (to 1/e) of the demand for an adapter: demand shifts within seconds.
-inline constexpr Span demandLife = std::chrono::milliseconds(2000);
+inline constexpr Span demandDecayTime = std::chrono::milliseconds(2000);
 
 /// Share of an engine's prefill rate that one copy of an adapter should use: the engine has other
 /// adapters as well.
@@ -32,7 +32,7 @@
 };
 
 /// Answer to a host that requested admission of a prompt.
-struct PromptTurn
+struct PromptAdmission
 {
     Span wait{};
     /// The demand for this adapter exceeds what one engine should read: another engine should load
@@ -43,11 +43,11 @@
 
 /// Admits a prompt of \a tokens for \a adapter at an engine that reads \a prefillTokensPerSecond.
 /// The tokens count towards the backlog from now on.
-PromptTurn takeTurn(PromptPacer &pacer, const ModelName &adapter, double tokens,
-                    double prefillTokensPerSecond, Instant now);
+PromptAdmission admitPrompt(PromptPacer &pacer, const ModelName &adapter, double tokens,
+                            double prefillTokensPerSecond, Instant now);
 
 /// Cancels an unused admission of \a tokens.
-void giveBackTurn(PromptPacer &pacer, double tokens);
+void releaseAdmission(PromptPacer &pacer, double tokens);
 
 /// Removes adapters without demand.
 void tidy(PromptPacer &pacer, Instant now);
--- a/packages/gateway/include/azurewell/gateway/published.h
+++ b/packages/gateway/include/azurewell/gateway/published.h
@@ -35,21 +35,21 @@
 /// Applies a full listing whose first page was read at \a revision: items missing from it were
 /// deleted. Later pages can contain later changes, but others between the pages may be missing, so
 /// the listing is complete up to its first page only. Returns the changed items.
-std::vector<PublishedItem> takeListing(PublishedState &state,
-                                       const std::vector<PublishedItem> &items,
-                                       std::uint64_t revision);
+std::vector<PublishedItem> applyListing(PublishedState &state,
+                                        const std::vector<PublishedItem> &items,
+                                        std::uint64_t revision);
 
 /// Applies changes received from another host and returns the changed items. Nothing is applied if
 /// changes in between are missing. If nothing was known, they may be the first part of the state of
 /// a sender that has all changes up to \a senderRevision; deletions before that are not among them.
-std::vector<PublishedItem> takeChanges(PublishedState &state, const PublishedChanges &changes,
-                                       std::uint64_t senderRevision = 0);
+std::vector<PublishedItem> applyChanges(PublishedState &state, const PublishedChanges &changes,
+                                        std::uint64_t senderRevision = 0);
 
 /// Removes from a series of changes, oldest first, those that \a hasChanged reports as no change.
 /// \a hasChanged compares with the state before the series, so once a key has changed in the
 /// series, all its later changes are kept.
-void keepNews(std::vector<PublishedItem> &items,
-              const std::function<bool(const PublishedItem &)> &hasChanged);
+void removeUnchanged(std::vector<PublishedItem> &items,
+                     const std::function<bool(const PublishedItem &)> &hasChanged);
 
 /// Whether every change after \a revision is known. A host that has read a listing does not know
 /// all earlier deletions, and a host that took its changes as complete would use a deleted upstream
--- a/packages/gateway/include/azurewell/gateway/upstreams.h
+++ b/packages/gateway/include/azurewell/gateway/upstreams.h
@@ -40,8 +40,8 @@
 struct LoadingAdapter
 {
     ModelName name;
-    Instant since;             ///< When the load was ordered; zero: unknown.
-    bool isHeldLately = false; ///< The engine has the adapter in its host memory.
+    Instant since;               ///< When the load was ordered; zero: unknown.
+    bool isInHostMemory = false; ///< The engine has the adapter in its host memory.
 };
 
 /// State of an engine, from its own report or from an update of its coordinator.
@@ -84,7 +84,7 @@
 
 /// Whether two entries of an upstream are equal apart from their serial and the engine's state,
 /// which its coordinator sends sooner.
-bool saysTheSame(const ListedUpstream &a, const ListedUpstream &b);
+bool isSameListing(const ListedUpstream &a, const ListedUpstream &b);
 
 /// Load that an upstream states in its answers.
 struct StatedLoad
@@ -98,7 +98,7 @@
 struct LoadInProgress
 {
     Instant since; ///< When the load was ordered or first seen.
-    bool isHeldLately = false;
+    bool isInHostMemory = false;
     std::uint32_t earlyAttempts = 0; ///< Requests sent before a report shows it as done.
     Instant earlyAttemptAt; ///< When the last of them was sent; zero: the engine rejected it.
     Instant nextEarlyAttemptAt;
@@ -115,7 +115,7 @@
 
 /// Decay time (to 1/e) of the prompt tokens sent to an engine: about the time for which recent
 /// prompts delay the next step of its batch.
-inline constexpr Span promptLife = std::chrono::milliseconds(400);
+inline constexpr Span promptDecayTime = std::chrono::milliseconds(400);
 
 /// The value of \a sum at \a now; it decays to 1/e within \a decayTime.
 double valueAt(const DecayedSum &sum, Span decayTime, Instant now);
@@ -126,25 +126,26 @@
 struct Upstream
 {
     ListedUpstream listed;
-    Instant usableUntil; ///< If removed or leaving, no new requests are sent after this time;
-                         ///< otherwise `never`.
-    Instant killedAt; ///< When the upstream is terminated, whatever still runs; otherwise `never`.
+    Instant usableUntil;  ///< If removed or leaving, no new requests are sent after this time;
+                          ///< otherwise `never`.
+    Instant terminatedAt; ///< When the upstream is terminated, whatever still runs; otherwise
+                          ///< `never`.
     EngineState engine;
     std::map<ModelName, LoadInProgress> loads;
-    HostId toldBy; ///< Sender of the last update on the engine, presumably its coordinator.
-    Instant toldAt;
+    HostId updatedBy; ///< Sender of the last update on the engine, presumably its coordinator.
+    Instant updatedAt;
 
     StatedLoad load;
     Instant loadAt;
     StatedLimit limit;
-    std::uint32_t underWay = 0;                ///< Requests of this host in progress there.
+    std::uint32_t requestsInFlight = 0;        ///< Requests of this host in progress there.
     DecayedSum ownPrompts;                     ///< Prompt tokens sent by this host.
     std::map<HostId, DecayedSum> otherPrompts; ///< Prompt tokens sent by other hosts.
     std::uint32_t failuresInARow = 0;
-    std::int64_t reported = 0; ///< Process start that the upstream, or a host, last reported.
-    Instant reportedAt;        ///< Latest time at which that process was known to run.
-    Instant avoidedUntil;      ///< After failures, other upstreams are preferred until then.
-    double failureRate = 0;    ///< Moving average of the share of failed requests.
+    std::int64_t reportedStart = 0; ///< Process start that the upstream, or a host, last reported.
+    Instant reportedAt;             ///< Latest time at which that process was known to run.
+    Instant avoidedUntil;           ///< After failures, other upstreams are preferred until then.
+    double failureRate = 0;         ///< Moving average of the share of failed requests.
 };
 
 inline constexpr Instant never{ std::numeric_limits<std::int64_t>::max() };
@@ -170,16 +171,16 @@
 
 /// Replaces the state of the engine by \a state. Reports are some 200 ms old and may show an
 /// adapter as loading that has accepted requests since; such an adapter stays ready.
-void setEngine(Upstream &upstream, EngineState state, LastEngines &lastHolders, Instant now);
+void setEngine(Upstream &upstream, EngineState state, LastEngines &lastEngines, Instant now);
 
 /// Records that \a adapter was unloaded from \a engine.
-void recordLastEngine(LastEngines &lastHolders, const ModelName &adapter, const UpstreamId &engine);
+void recordLastEngine(LastEngines &lastEngines, const ModelName &adapter, const UpstreamId &engine);
 
 /// The engine that last held \a adapter; null if unknown.
-const UpstreamId *findLastEngine(const LastEngines &lastHolders, const ModelName &adapter);
+const UpstreamId *findLastEngine(const LastEngines &lastEngines, const ModelName &adapter);
 
 /// Records that a load of \a adapter was ordered.
-void beginLoad(Upstream &upstream, const ModelName &adapter, bool isHeldLately, Instant now);
+void beginLoad(Upstream &upstream, const ModelName &adapter, bool isInHostMemory, Instant now);
 
 /// Records that the engine accepted a request for an adapter that a report still shows as loading.
 /// The other requests that wait for the adapter may be sent.
--- a/packages/gateway/include/azurewell/gateway/zone_relay.h
+++ b/packages/gateway/include/azurewell/gateway/zone_relay.h
@@ -18,8 +18,8 @@
 /// the first by rank that answers.
 struct ZoneRelay
 {
-    std::map<HostId, RelayedNews> toZone; ///< Updates for this host's zone, by origin.
-    std::map<HostId, RelayedNews> toOtherZones;
+    std::map<HostId, RelayedUpdate> toZone; ///< Updates for this host's zone, by origin.
+    std::map<HostId, RelayedUpdate> toOtherZones;
     bool isReplyDue = false; ///< Hosts of this zone sent relay requests and wait for a message from
                              ///< this host.
     Instant nextAt;          ///< When the collected updates are sent.
@@ -37,13 +37,14 @@
 
 /// Merges \a update into \a collected, keeping the newest update of each engine, customer and
 /// limit.
-void mergeUpdate(std::map<HostId, RelayedNews> &collected, const RelayedNews &update);
+void mergeUpdate(std::map<HostId, RelayedUpdate> &collected, const RelayedUpdate &update);
 
 /// Splits \a collected into parts that fit into one message each.
-std::vector<std::vector<RelayedNews>> splitUpdates(const std::map<HostId, RelayedNews> &collected);
+std::vector<std::vector<RelayedUpdate>> splitUpdates(
+        const std::map<HostId, RelayedUpdate> &collected);
 
 /// Selects a host of \a zone, other than this one, as relay and records the request to it. Returns
 /// null if no live one is known.
-const Member *askRelay(Members &members, const ZoneId &zone, Instant now);
+const Member *selectRelay(Members &members, const ZoneId &zone, Instant now);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/adapter_uses.cpp
+++ b/packages/gateway/src/adapter_uses.cpp
@@ -33,17 +33,17 @@
          place != uses.end() && place->first.first == engine;) {
         OwnUse &use = place->second;
         const bool isRunning = use.running > 0;
-        if (isRunning || use.begun > 0 || use.isTold)
+        if (isRunning || use.begun > 0 || use.isReportedInUse)
             reported.push_back({ engine, place->first.second, isRunning, use.begun });
         use.begun = 0;
-        use.isTold = isRunning;
+        use.isReportedInUse = isRunning;
         place = isRunning ? std::next(place) : uses.erase(place);
     }
     return reported;
 }
 
-void noteOtherUse(OtherUses &uses, const AdapterRef &adapter, const HostId &host, bool isRunning,
-                  Span reportInterval, Instant now)
+void recordRemoteUse(RemoteUses &uses, const AdapterRef &adapter, const HostId &host,
+                     bool isRunning, Span reportInterval, Instant now)
 {
     if (isRunning)
         uses[adapter][host] = now + fromSeconds(toSeconds(reportInterval) * useValidityHeartbeats);
@@ -51,7 +51,7 @@
         found->second.erase(host);
 }
 
-bool isUsedElsewhere(const OtherUses &uses, const AdapterRef &adapter, Instant now)
+bool isUsedElsewhere(const RemoteUses &uses, const AdapterRef &adapter, Instant now)
 {
     const auto found = uses.find(adapter);
     return found != uses.end()
--- a/packages/gateway/src/choose_upstream.cpp
+++ b/packages/gateway/src/choose_upstream.cpp
@@ -65,14 +65,14 @@
     return upstream.listed.service == need.service && isUsable(upstream, now)
             && !need.excluded.contains(upstream.listed.id)
             && !(need.isSentWithoutAdmission && isInForce(upstream.limit, now))
-            && (upstream.killedAt == never || now + need.duration < upstream.killedAt);
+            && (upstream.terminatedAt == never || now + need.duration < upstream.terminatedAt);
 }
 
 double queuedPromptTokens(const Upstream &upstream, Instant now)
 {
-    double prompts = valueAt(upstream.ownPrompts, promptLife, now);
+    double prompts = valueAt(upstream.ownPrompts, promptDecayTime, now);
     for (const auto &[host, tokens] : upstream.otherPrompts)
-        prompts += valueAt(tokens, promptLife, now);
+        prompts += valueAt(tokens, promptDecayTime, now);
     return prompts;
 }
 
@@ -81,7 +81,7 @@
     const double slots = std::max<double>(upstream.listed.slots, 1);
     const bool isCurrent = now - upstream.loadAt < statedLoadValidity;
     const StatedLoad stated = isCurrent ? upstream.load : StatedLoad{};
-    const double runningRequests = std::max<double>(stated.running, upstream.underWay);
+    const double runningRequests = std::max<double>(stated.running, upstream.requestsInFlight);
     return queuedPromptTokens(upstream, now) / prefillTokensPerSecond
             + stated.waiting * waitPerQueuedRequest + fullBatchDelay * runningRequests / slots
             + expectedLimitWait(upstream.limit, now);
@@ -140,7 +140,7 @@
 }
 
 const Upstream *chooseEngineToLoad(const UpstreamMap &upstreams, const UpstreamNeed &need,
-                                   const LastEngines &lastHolders, std::uint32_t adapterPlaces,
+                                   const LastEngines &lastEngines, std::uint32_t maxLoadedAdapters,
                                    Instant now)
 {
     std::vector<std::pair<const Upstream *, double>> candidates; ///< With the wait in seconds.
@@ -148,7 +148,7 @@
     for (const auto &[id, upstream] : upstreams) {
         const bool isCandidate = fits(upstream, need, now) && now >= upstream.avoidedUntil
                 && upstream.engine.hasModel(need.model.model)
-                && upstream.engine.loading.size() < adapterPlaces;
+                && upstream.engine.loading.size() < maxLoadedAdapters;
         if (!isCandidate)
             continue;
         const double wait = expectedWait(upstream, need.prefillTokensPerSecond, now);
@@ -156,7 +156,7 @@
         candidates.emplace_back(&upstream, wait);
     }
     const std::string name = need.model.model + "/" + need.model.adapter;
-    const UpstreamId *lastEngine = findLastEngine(lastHolders, need.model);
+    const UpstreamId *lastEngine = findLastEngine(lastEngines, need.model);
     const Upstream *best = nullptr;
     LoadRank highest;
     for (const auto &[upstream, wait] : candidates) {
--- a/packages/gateway/src/holders.cpp
+++ b/packages/gateway/src/coordinators.cpp
@@ -26,19 +26,19 @@
     return rankedCoordinator(state, engine, now) == state.self.id;
 }
 
-HostId askedHolder(GatewayState &state, const Upstream &engine, Instant now)
+HostId coordinatorOf(GatewayState &state, const Upstream &engine, Instant now)
 {
     const HostId &ranked = rankedCoordinator(state, engine, now);
-    const bool isUpdateRecent = ranked != state.self.id && !engine.toldBy.value.empty()
-            && now - engine.toldAt < updateValidity(state, engine)
-            && isAlive(state.members, engine.toldBy, now);
-    return isUpdateRecent ? engine.toldBy : ranked;
+    const bool isUpdateRecent = ranked != state.self.id && !engine.updatedBy.value.empty()
+            && now - engine.updatedAt < updateValidity(state, engine)
+            && isAlive(state.members, engine.updatedBy, now);
+    return isUpdateRecent ? engine.updatedBy : ranked;
 }
 
 Span updateValidity(const GatewayState &state, const Upstream &engine)
 {
     const HeartbeatPlan &plan = state.members.plan;
-    const Span interval = engine.listed.zone == state.self.zone ? plan.inZone : plan.elsewhere;
+    const Span interval = engine.listed.zone == state.self.zone ? plan.inZone : plan.inOtherZones;
     return std::max(minUpdateValidity, fromSeconds(toSeconds(interval) * updateValidityHeartbeats));
 }
 
--- a/packages/gateway/src/crash_quarantine.cpp
+++ b/packages/gateway/src/crash_quarantine.cpp
@@ -94,7 +94,7 @@
         if (found == suspect.incarnations.end() || found->second < from || found->second >= until)
             continue;
         suspect.incarnations.erase(found);
-        ++quarantine.refuted;
+        ++quarantine.suspicionsRefuted;
         changed.push_back(digest);
     }
     updateRefuted(quarantine, changed);
@@ -104,7 +104,7 @@
 
 } // namespace
 
-UpstreamIncarnation lifeOf(const Upstream &upstream)
+UpstreamIncarnation incarnationOf(const Upstream &upstream)
 {
     return { upstream.listed.id, std::max(upstream.listed.engine.start, upstream.engine.start) };
 }
@@ -117,7 +117,7 @@
     const auto [known, isNew] = suspect.incarnations.emplace(suspicion.incarnation, suspicion.at);
     if (!isNew)
         return false;
-    ++quarantine.noted;
+    ++quarantine.suspicionsRecorded;
     Instant &latest = quarantine.suspectedIncarnations[suspicion.incarnation];
     latest = std::max(latest, suspicion.at);
     const bool isQuarantinedNow = suspect.incarnations.size() == quarantineThreshold;
@@ -190,7 +190,7 @@
         forget(quarantine, digest);
 }
 
-void forgetLapsed(CrashQuarantine &quarantine, Instant now)
+void removeExpiredSuspicions(CrashQuarantine &quarantine, Instant now)
 {
     while (const std::optional<RequestDigest> digest = quarantine.suspectedUntil.takeDue(now))
         quarantine.suspects.erase(*digest);
--- a/packages/gateway/src/crashes.cpp
+++ b/packages/gateway/src/crashes.cpp
@@ -19,14 +19,14 @@
 {
     std::vector<RequestNumber> copies;
     for (const auto &[number, record] : state.requests) {
-        if (record.digest == digest && number != except && !record.hasAnswerBegun)
+        if (record.digest == digest && number != except && !record.hasAnswerStarted)
             copies.push_back(number);
     }
     for (const RequestNumber number : copies) {
         RequestRecord &record = state.requests.at(number);
         if (record.phase == RequestPhase::AtUpstream) {
             actions.cancels.push_back({ number });
-            ++record.mayHaveRun;
+            ++record.possibleRuns;
         }
         refuseQuarantined(state, record, now, actions);
     }
@@ -37,9 +37,9 @@
 {
     if (!noteSuspicion(state.quarantine, suspicion, now))
         return;
-    actions.notes.push_back({ "request_quarantined",
-                              { { "digest", inHex(suspicion.digest) },
-                                { "last_upstream", suspicion.incarnation.upstream.value } } });
+    actions.logEvents.push_back({ "request_quarantined",
+                                  { { "digest", inHex(suspicion.digest) },
+                                    { "last_upstream", suspicion.incarnation.upstream.value } } });
     refuseCopies(state, suspicion.digest, except, now, actions);
 }
 
@@ -47,26 +47,28 @@
 bool isRefuted(const GatewayState &state, const CrashSuspicion &suspicion)
 {
     const auto found = state.upstreams.find(suspicion.incarnation.upstream);
-    return found != state.upstreams.end() && found->second.reported == suspicion.incarnation.start
+    return found != state.upstreams.end()
+            && found->second.reportedStart == suspicion.incarnation.start
             && found->second.reportedAt > suspicion.at;
 }
 
 } // namespace
 
-void noteCutOff(GatewayState &state, const RequestRecord &record, Instant now, Actions &actions)
+void noteConnectionLost(GatewayState &state, const RequestRecord &record, Instant now,
+                        Actions &actions)
 {
     const auto found = state.upstreams.find(record.upstream);
     // An upstream that is being removed is expected to close its connections.
     if (found == state.upstreams.end() || found->second.usableUntil != never
-        || found->second.killedAt != never)
+        || found->second.terminatedAt != never)
         return;
-    const CrashSuspicion suspicion{ record.digest, lifeOf(found->second), now };
-    handleSuspicion(state, suspicion, record.asked.request, now, actions);
+    const CrashSuspicion suspicion{ record.digest, incarnationOf(found->second), now };
+    handleSuspicion(state, suspicion, record.arrivedRequest.request, now, actions);
     queueSuspicion(state.quarantine, suspicion, now);
 }
 
-void takeSuspicions(GatewayState &state, const std::vector<CrashSuspicion> &suspicions, Instant now,
-                    Actions &actions)
+void handleSuspicions(GatewayState &state, const std::vector<CrashSuspicion> &suspicions,
+                      Instant now, Actions &actions)
 {
     for (const CrashSuspicion &suspicion : suspicions) {
         if (!isRefuted(state, suspicion))
@@ -74,16 +76,17 @@
     }
 }
 
-void noteLives(GatewayState &state, Upstream &upstream, std::int64_t start, Instant sentAt)
+void recordStart(GatewayState &state, Upstream &upstream, std::int64_t start, Instant sentAt)
 {
-    if (start < upstream.reported || (start == upstream.reported && sentAt <= upstream.reportedAt))
+    if (start < upstream.reportedStart
+        || (start == upstream.reportedStart && sentAt <= upstream.reportedAt))
         return;
-    upstream.reported = start;
+    upstream.reportedStart = start;
     upstream.reportedAt = sentAt;
     noteReported(state.quarantine, { upstream.listed.id, start }, sentAt);
 }
 
-bool isKeptBack(const GatewayState &state, const RequestRecord &record)
+bool isDispatchBlocked(const GatewayState &state, const RequestRecord &record)
 {
     if (!isSuspected(state.quarantine, record.digest))
         return false;
@@ -92,7 +95,7 @@
     return std::any_of(state.requests.begin(), state.requests.end(), [&](const auto &entry) {
         const RequestRecord &other = entry.second;
         return other.digest == record.digest && other.phase == RequestPhase::AtUpstream
-                && other.asked.request != record.asked.request;
+                && other.arrivedRequest.request != record.arrivedRequest.request;
     });
 }
 
@@ -103,16 +106,16 @@
                     actions);
 }
 
-void tellSuspicions(GatewayState &state, Instant now, Actions &actions)
+void sendSuspicions(GatewayState &state, Instant now, Actions &actions)
 {
     if (state.quarantine.pending.empty())
         return;
     std::vector<CrashSuspicion> due = takePending(state.quarantine, now);
     if (due.empty())
         return;
-    RelayedNews update;
+    RelayedUpdate update;
     update.crashes = std::move(due);
-    tellAll(state, MessageKind::CrashSuspicions, std::move(update), now, actions);
+    sendToAll(state, MessageKind::CrashSuspicions, std::move(update), now, actions);
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/customer_meter.cpp
+++ b/packages/gateway/src/customer_meter.cpp
@@ -122,7 +122,7 @@
     if (customer.rate.perSecond <= 0)
         return std::nullopt;
     const double capacity = capacityOf(customer, limits);
-    const double reachable = static_cast<double>(countHeard(members, now) + 1);
+    const double reachable = static_cast<double>(countReachable(members, now) + 1);
     const double known = static_cast<double>(countKnown(members) + 1);
     const Used used = usedIn(meter, members, limits.window, now);
     const bool isWithinCapacity = used.byAll + cost <= capacity
@@ -177,7 +177,7 @@
 {
     if (!customer.countsTokens)
         return 1;
-    return static_cast<double>(stated.value_or(customer.tokensWithoutWord).count);
+    return static_cast<double>(stated.value_or(customer.defaultRequestTokens).count);
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/engine_orders.cpp
+++ b/packages/gateway/src/engine_orders.cpp
@@ -1,4 +1,4 @@
-#include "engine_places.h"
+#include "engine_slots.h"
 
 #include <algorithm>
 
@@ -76,7 +76,7 @@
     std::erase_if(upstream.engine.ready,
                   [&](const LoadedAdapter &loaded) { return loaded.name == adapter; });
     upstream.loads.erase(adapter);
-    recordLastEngine(state.lastHolders, adapter, upstream.listed.id);
+    recordLastEngine(state.lastEngines, adapter, upstream.listed.id);
     state.changedEngines.insert(upstream.listed.id);
     ++state.counters.unloadsOrdered;
     issueOrder(state, upstream, engine, adapter, false, actions);
@@ -107,7 +107,7 @@
 {
     const AdapterRef ref = refOf(adapter);
     applyAdapterEvent(state, engine, ref, AdapterEvent::LoadOrdered, now);
-    beginLoad(upstream, adapter, isHeldLately(engine, ref), now);
+    beginLoad(upstream, adapter, isInHostMemory(engine, ref), now);
     recordInHostMemory(engine, ref);
     // In a large fleet the start of a load is sent with the next update: its end matters more.
     if (isSmallFleet(state))
@@ -122,13 +122,13 @@
     std::erase_if(engine.wanted, [&](const ModelName &wanted) {
         return !isOrderable(engine.adapters, refOf(wanted), now);
     });
-    if (loadsUnderWay(engine.adapters) >= maxLoadsInProgress)
+    if (loadsInFlight(engine.adapters) >= maxLoadsInProgress)
         return;
     const bool isFull = isStoreFull(state, now);
     const UpstreamId &id = upstream.listed.id;
     for (const ModelName &wanted : engine.wanted) {
         const AdapterRef ref = refOf(wanted);
-        if (isFull && !isHeldLately(engine, ref))
+        if (isFull && !isInHostMemory(engine, ref))
             continue;
         const PlacementStep step = makeRoom(engine.adapters, now, [&](const AdapterRef &held) {
             return isUsed(state, engine, id, held, now);
@@ -159,10 +159,10 @@
 {
     if (event.outcome != OrderOutcome::Refused && event.outcome != OrderOutcome::Unknown)
         return;
-    actions.notes.push_back({ "engine_order_not_accepted",
-                              { { "engine", event.engine.value },
-                                { "model", refOf(event.model).value },
-                                { "load", event.isLoad ? "true" : "false" } } });
+    actions.logEvents.push_back({ "engine_order_not_accepted",
+                                  { { "engine", event.engine.value },
+                                    { "model", refOf(event.model).value },
+                                    { "load", event.isLoad ? "true" : "false" } } });
 }
 
 void handleBaseLoadAnswer(OrderedEngine &engine, const OrderEnded &event, Instant now,
@@ -185,14 +185,15 @@
         return;
     const OrderStart start{ state.self.isFirstStart, state.startedAt };
     const bool isWanted = !engine.wanted.empty() || upstream.engine.models.empty();
-    const bool wasCoordinating = engine.rights.isHolding;
+    const bool wasCoordinating = engine.rights.isCoordinating;
     if (!mayOrder(engine.rights, upstream, state.members, start,
                   nextFencingNumber(state, wallMillis), now))
         return;
     if (!wasCoordinating) {
-        actions.notes.push_back({ "engine_ordering_started",
-                                  { { "engine", upstream.listed.id.value },
-                                    { "fencing", std::to_string(engine.rights.fencing.value) } } });
+        actions.logEvents.push_back(
+                { "engine_ordering_started",
+                  { { "engine", upstream.listed.id.value },
+                    { "fencing", std::to_string(engine.rights.fencing.value) } } });
     }
     if (isWanted && orderBase(state, upstream, engine, *limits, now, actions))
         return;
@@ -208,7 +209,7 @@
     wakeEngine(state, event.engine);
     const auto upstream = state.upstreams.find(event.engine);
     if (event.outcome == OrderOutcome::Taken
-        || (event.outcome == OrderOutcome::HeldAlready && !event.isLoad))
+        || (event.outcome == OrderOutcome::AlreadyDone && !event.isLoad))
         noteOrderTaken(engine.rights, event.sentAt);
     if (event.model.isBase()) {
         handleBaseLoadAnswer(engine, event, now, actions);
@@ -217,7 +218,7 @@
     const AdapterRef ref = refOf(event.model);
     const AdapterState previousState = stateOf(engine, ref);
     updateOrderTime(engine, ref, now);
-    const bool isDone = event.outcome == OrderOutcome::HeldAlready;
+    const bool isDone = event.outcome == OrderOutcome::AlreadyDone;
     if (event.isLoad) {
         if (event.outcome == OrderOutcome::Refused && previousState == AdapterState::Loading) {
             applyAdapterEvent(state, engine, ref, AdapterEvent::LoadFailed, now);
@@ -231,7 +232,7 @@
         engine.unloadedAt.erase(ref);
     }
     logOrderNotTaken(event, actions);
-    if (upstream != state.upstreams.end() && engine.rights.isHolding && isDone)
+    if (upstream != state.upstreams.end() && engine.rights.isCoordinating && isDone)
         giveOrders(state, upstream->second, engine, 0, now, actions);
 }
 
--- a/packages/gateway/src/engine_reports.cpp
+++ b/packages/gateway/src/engine_reports.cpp
@@ -1,4 +1,4 @@
-#include "engine_places.h"
+#include "engine_slots.h"
 
 #include <algorithm>
 
@@ -107,7 +107,7 @@
 /// Updates the state that requests are routed by: the report without the adapters that were ordered
 /// to be unloaded since.
 void updateView(Upstream &upstream, const OrderedEngine &engine, const EngineState &report,
-                LastEngines &lastHolders, Instant askedAt, Instant now)
+                LastEngines &lastEngines, Instant askedAt, Instant now)
 {
     EngineState view = report;
     view.seenAt = askedAt;
@@ -121,7 +121,7 @@
         if (adapter.state == AdapterState::Loading && !view.isLoading(name))
             view.loading.push_back({ name, {}, false });
     }
-    setEngine(upstream, std::move(view), lastHolders, now);
+    setEngine(upstream, std::move(view), lastEngines, now);
 }
 
 Span uncoordinatedInterval(const GatewayState &state)
@@ -154,8 +154,8 @@
     return isOwn ? engine.nextReportAt : std::max(engine.nextReportAt, neededAt);
 }
 
-void askReport(const GatewayState &state, const Upstream &upstream, OrderedEngine &engine,
-               bool isOwn, Instant now, Actions &actions)
+void queryReport(const GatewayState &state, const Upstream &upstream, OrderedEngine &engine,
+                 bool isOwn, Instant now, Actions &actions)
 {
     if (engine.isReportPending && now < engine.reportRequestedAt + reportTimeout)
         return;
@@ -179,13 +179,13 @@
     if (!event.state)
         return;
     Upstream &upstream = found->second;
-    noteReport(engine.rights, *event.state, event.askedAt, now);
-    noteLives(state, upstream, event.state->start, event.askedAt);
-    applyReport(state, engine, *event.state, event.askedAt, now);
+    noteReport(engine.rights, *event.state, event.queriedAt, now);
+    recordStart(state, upstream, event.state->start, event.queriedAt);
+    applyReport(state, engine, *event.state, event.queriedAt, now);
     const EngineState before = upstream.engine;
-    updateView(upstream, engine, *event.state, state.lastHolders, event.askedAt, now);
+    updateView(upstream, engine, *event.state, state.lastEngines, event.queriedAt, now);
     upstream.load = { event.state->running, event.state->waiting, upstream.listed.slots };
-    upstream.loadAt = event.askedAt;
+    upstream.loadAt = event.queriedAt;
     const bool isChanged = before.ready != upstream.engine.ready
             || before.models != upstream.engine.models || before.start != upstream.engine.start;
     if (!isChanged)
--- a/packages/gateway/src/engine_places.h
+++ b/packages/gateway/src/engine_slots.h
@@ -24,7 +24,7 @@
 const EngineLimits *limitsOf(const GatewayState &state, const Upstream &upstream);
 
 /// Whether the engine presumably has the adapter in its host memory.
-bool isHeldLately(const OrderedEngine &engine, const AdapterRef &ref);
+bool isInHostMemory(const OrderedEngine &engine, const AdapterRef &ref);
 
 /// Whether requests use the adapter or wait for it.
 bool isUsed(const GatewayState &state, const OrderedEngine &engine, const UpstreamId &id,
@@ -35,8 +35,8 @@
                 std::uint64_t wallMillis, Instant now, Actions &actions);
 
 /// Queries \a upstream for a report if one is due. \a isOwn: this host coordinates the engine.
-void askReport(const GatewayState &state, const Upstream &upstream, OrderedEngine &engine,
-               bool isOwn, Instant now, Actions &actions);
+void queryReport(const GatewayState &state, const Upstream &upstream, OrderedEngine &engine,
+                 bool isOwn, Instant now, Actions &actions);
 
 /// When \a upstream is next queried, or the pending query times out.
 Instant reportDueAt(const GatewayState &state, const Upstream &upstream,
--- a/packages/gateway/src/engines.cpp
+++ b/packages/gateway/src/engines.cpp
@@ -1,4 +1,4 @@
-#include "engine_places.h"
+#include "engine_slots.h"
 
 #include <algorithm>
 #include <utility>
@@ -41,7 +41,8 @@
 /// Whether this host, the coordinator of \a engine, has work to do there at each tick.
 bool hasWork(const Upstream &upstream, const OrderedEngine &engine)
 {
-    return !engine.rights.isHolding || !engine.wanted.empty() || upstream.engine.models.empty();
+    return !engine.rights.isCoordinating || !engine.wanted.empty()
+            || upstream.engine.models.empty();
 }
 
 /// When an engine has to be polled next, unless an event there comes first.
@@ -63,20 +64,20 @@
 void pollEngine(GatewayState &state, Upstream &upstream, std::uint64_t wallMillis, Instant now,
                 Actions &actions)
 {
-    ++state.counters.engineLooks;
+    ++state.counters.enginePolls;
     const UpstreamId &id = upstream.listed.id;
     const EngineLimits *limits = limitsOf(state, upstream);
     if (!limits || now >= upstream.usableUntil) {
         state.ownEngines.erase(id);
-        state.engineLooks.bringForward(id, now + maxPollInterval);
+        state.enginePolls.bringForward(id, now + maxPollInterval);
         return;
     }
     OrderedEngine &engine = state.engines[id];
-    engine.adapters.slots = limits->adapterPlaces;
+    engine.adapters.slots = limits->maxLoadedAdapters;
     engine.adapters.popularityHalfLife = popularityHalfLife;
     expireUnloads(engine, now);
     const bool isOwn = isOwnEngine(state, upstream, now);
-    askReport(state, upstream, engine, isOwn, now, actions);
+    queryReport(state, upstream, engine, isOwn, now, actions);
     if (isOwn) {
         state.ownEngines.insert(id);
         giveOrders(state, upstream, engine, wallMillis, now, actions);
@@ -84,7 +85,7 @@
         state.ownEngines.erase(id);
         engine.wanted.clear();
     }
-    state.engineLooks.bringForward(id, nextPollAt(state, upstream, engine, isOwn, now));
+    state.enginePolls.bringForward(id, nextPollAt(state, upstream, engine, isOwn, now));
 }
 
 } // namespace
@@ -95,7 +96,7 @@
     return service && service->engine ? &*service->engine : nullptr;
 }
 
-bool isHeldLately(const OrderedEngine &engine, const AdapterRef &ref)
+bool isInHostMemory(const OrderedEngine &engine, const AdapterRef &ref)
 {
     return std::find(engine.adaptersInHostMemory.begin(), engine.adaptersInHostMemory.end(), ref)
             != engine.adaptersInHostMemory.end();
@@ -108,7 +109,7 @@
     const bool isUsedHere = own != state.ownUses.end() && own->second.running > 0;
     const auto awaited = engine.awaitedUntil.find(ref);
     const bool isAwaited = awaited != engine.awaitedUntil.end() && now < awaited->second;
-    return isUsedHere || isAwaited || isUsedElsewhere(engine.otherUses, ref, now);
+    return isUsedHere || isAwaited || isUsedElsewhere(engine.remoteUses, ref, now);
 }
 
 ModelName nameOf(const AdapterRef &ref)
@@ -141,10 +142,10 @@
     const AdapterRef ref = refOf(adapter);
     ordered.awaitedUntil.erase(ref);
     if (stateOf(ordered, ref) == AdapterState::Loaded)
-        noteUses(ordered.adapters, ref, 1, now);
+        recordUses(ordered.adapters, ref, 1, now);
 }
 
-LoadProspect wantLoad(GatewayState &state, const LoadRequest &request, Instant now)
+LoadProspect enqueueLoad(GatewayState &state, const LoadRequest &request, Instant now)
 {
     const auto upstream = state.upstreams.find(request.engine);
     OrderedEngine &engine = state.engines[request.engine];
@@ -161,9 +162,9 @@
             != engine.wanted.end();
     if (isQueued)
         return LoadProspect::Coming;
-    if (!isOwn || !engine.rights.isHolding)
+    if (!isOwn || !engine.rights.isCoordinating)
         return LoadProspect::Unavailable;
-    const bool isInMemory = isHeldLately(engine, ref);
+    const bool isInMemory = isInHostMemory(engine, ref);
     const bool isStoreBusy = !isInMemory && isStoreFull(state, now)
             && isStoreQueueFull(state, request.adapter.model);
     const PlacementStep step = makeRoom(engine.adapters, now, [&](const AdapterRef &held) {
@@ -181,7 +182,7 @@
 
 void wakeEngine(GatewayState &state, const UpstreamId &engine)
 {
-    state.engineLooks.bringForward(engine, Instant{});
+    state.enginePolls.bringForward(engine, Instant{});
 }
 
 void wakeEngines(GatewayState &state)
@@ -196,7 +197,7 @@
         != state.members.generation)
         wakeEngines(state);
     std::vector<UpstreamId> due;
-    while (std::optional<UpstreamId> id = state.engineLooks.takeDue(now))
+    while (std::optional<UpstreamId> id = state.enginePolls.takeDue(now))
         due.push_back(std::move(*id));
     for (const UpstreamId &id : due) {
         const auto found = state.upstreams.find(id);
--- a/packages/gateway/src/gateway.cpp
+++ b/packages/gateway/src/gateway.cpp
@@ -36,8 +36,8 @@
 
 bool isLagging(const GatewayState &state, Instant now)
 {
-    return state.behind.upTo > state.published.revision
-            && now - state.behind.since >= fallbackReadDelay;
+    return state.revisionLag.latestRevision > state.published.revision
+            && now - state.revisionLag.since >= fallbackReadDelay;
 }
 
 /// Whether \a entry was written before \a known. Entries can arrive out of order; a late one could
@@ -54,7 +54,7 @@
 {
     std::set<ModelName> wanted;
     for (const RequestNumber &request : state.waiting)
-        wanted.insert(state.requests.at(request).asked.model);
+        wanted.insert(state.requests.at(request).arrivedRequest.model);
     std::erase_if(state.awaitedLoads, [&](const auto &entry) {
         const auto engine = state.upstreams.find(entry.second.engine);
         const bool isDone = engine == state.upstreams.end()
@@ -72,7 +72,7 @@
     std::erase_if(state.upstreams, [now](const auto &entry) {
         const Upstream &upstream = entry.second;
         return upstream.usableUntil != never && now >= upstream.usableUntil + removalRetention
-                && upstream.underWay == 0;
+                && upstream.requestsInFlight == 0;
     });
     const auto isRemoved = [&state](const auto &entry) {
         return !state.upstreams.contains(entry.first);
@@ -92,7 +92,8 @@
     const auto readers = std::count_if(others.begin(), others.end(), [&](const auto &entry) {
         const Member &member = entry.second;
         return member.zone == state.self.zone && !member.isLeaving
-                && member.platform != PlatformView::Failing && isHeard(state.members, member, now)
+                && member.platform != PlatformView::Failing
+                && isMemberReachable(state.members, member, now)
                 && rendezvousMix(key, member.idHash) > ownRank;
     });
     return static_cast<std::size_t>(readers);
@@ -113,7 +114,7 @@
     state.startedAt = now;
     state.members.self = self.id;
     state.members.zone = self.zone;
-    state.platformReader.times = planReads(self.inForceWithin);
+    state.platformReader.times = planReads(self.propagationTimeout);
 }
 
 void setConfiguration(GatewayState &state, Configuration configuration)
@@ -135,7 +136,7 @@
     const bool isMoved = listed.address != upstream.listed.address;
     upstream.listed = listed;
     upstream.usableUntil = listed.isLeaving ? std::min(now, upstream.usableUntil) : never;
-    upstream.killedAt = listed.remaining > Span{} ? now + listed.remaining : never;
+    upstream.terminatedAt = listed.remaining > Span{} ? now + listed.remaining : never;
     if (isRestarted || isMoved) {
         upstream.avoidedUntil = Instant{};
         upstream.failuresInARow = 0;
@@ -216,7 +217,7 @@
 void tick(GatewayState &state, std::uint64_t wallMillis, Instant now, Actions &actions)
 {
     removeExpiredUpstreams(state, now);
-    forgetLapsed(state.quarantine, now);
+    removeExpiredSuspicions(state.quarantine, now);
     updateMembers(state.members, now);
     resolveEarlyAttempts(state, now);
     placeWaiting(state, now, actions);
--- a/packages/gateway/src/gossip_codec.cpp
+++ b/packages/gateway/src/gossip_codec.cpp
@@ -78,7 +78,7 @@
             to.model = adapter.name.model;
         to.adapter = adapter.name.adapter;
         to.__set_loadingForMillis(static_cast<std::int32_t>((now - adapter.since) / millisecond));
-        if (adapter.isHeldLately)
+        if (adapter.isInHostMemory)
             to.__set_heldLately(true);
     }
     return out;
@@ -97,7 +97,7 @@
     return out;
 }
 
-wire::EngineNews toWire(const EngineNews &update, Instant now)
+wire::EngineNews toWire(const EngineUpdate &update, Instant now)
 {
     wire::EngineNews out;
     out.engine = update.engine.value;
@@ -113,9 +113,9 @@
     return out;
 }
 
-EngineNews fromWire(const wire::EngineNews &update, Instant now)
+EngineUpdate fromWire(const wire::EngineNews &update, Instant now)
 {
-    EngineNews out;
+    EngineUpdate out;
     out.engine.value = update.engine;
     out.state.seenAt = now - ageOf(update.age);
     out.state.start = update.start;
@@ -191,14 +191,14 @@
     return out;
 }
 
-wire::RelayedNews toWire(const RelayedNews &update, Instant now)
+wire::RelayedNews toWire(const RelayedUpdate &update, Instant now)
 {
     wire::RelayedNews out;
     out.host = update.origin.value;
     out.incarnation = static_cast<std::int64_t>(update.incarnation.value);
     for (const CustomerUse &use : update.uses)
         out.uses.push_back(toWire(use));
-    for (const EngineNews &engine : update.engines)
+    for (const EngineUpdate &engine : update.engines)
         out.engines.push_back(toWire(engine, now));
     if (!update.crashes.empty())
         out.__set_crashes(toWire(update.crashes, now));
@@ -207,9 +207,9 @@
     return out;
 }
 
-RelayedNews fromWire(const wire::RelayedNews &update, Instant now)
+RelayedUpdate fromWire(const wire::RelayedNews &update, Instant now)
 {
-    RelayedNews out;
+    RelayedUpdate out;
     out.origin.value = update.host;
     out.incarnation.value = static_cast<std::uint64_t>(update.incarnation);
     for (const wire::CustomerUse &use : update.uses)
@@ -327,9 +327,9 @@
     if (message.relayTo != RelayScope::None)
         out.__set_relayTo(static_cast<std::int32_t>(message.relayTo));
     out.__isset.relayed = !message.relayed.empty();
-    for (const RelayedNews &update : message.relayed)
+    for (const RelayedUpdate &update : message.relayed)
         out.relayed.push_back(toWire(update, now));
-    for (const EngineNews &update : message.engines)
+    for (const EngineUpdate &update : message.engines)
         out.engines.push_back(toWire(update, now));
     for (const AdapterUse &use : message.adapterUses) {
         wire::AdapterUse &to = out.adapterUses.emplace_back();
@@ -344,19 +344,19 @@
         to.engine = work.engine.value;
         to.tokens = static_cast<std::int32_t>(work.tokens);
     }
-    for (const PromptAsk &admission : message.promptAsks) {
+    for (const AdmissionRequest &admission : message.admissionRequests) {
         wire::PromptAsk &to = out.promptAsks.emplace_back();
         to.engine = admission.engine.value;
         to.model = admission.adapter.model;
         to.adapter = admission.adapter.adapter;
         to.request = static_cast<std::int64_t>(admission.request);
         to.tokens = static_cast<std::int32_t>(admission.tokens);
-        if (admission.isGivenBack)
+        if (admission.isReturned)
             to.__set_givenBack(true);
         if (admission.limit > 0)
             to.__set_limit(admission.limit);
     }
-    for (const PromptAnswer &answer : message.promptAnswers) {
+    for (const AdmissionReply &answer : message.admissionReplies) {
         wire::PromptAnswer &to = out.promptAnswers.emplace_back();
         to.request = static_cast<std::int64_t>(answer.request);
         to.waitMillis = static_cast<std::int32_t>(answer.wait / millisecond);
@@ -417,17 +417,17 @@
                 { UpstreamId{ work.engine }, static_cast<double>(std::max(work.tokens, 0)) });
     }
     for (const wire::PromptAsk &admission : message.promptAsks) {
-        out.promptAsks.push_back({ UpstreamId{ admission.engine },
-                                   { admission.model, admission.adapter },
-                                   static_cast<std::uint64_t>(admission.request),
-                                   static_cast<double>(std::max(admission.tokens, 0)),
-                                   admission.givenBack,
-                                   std::max(admission.limit, 0.0) });
+        out.admissionRequests.push_back({ UpstreamId{ admission.engine },
+                                          { admission.model, admission.adapter },
+                                          static_cast<std::uint64_t>(admission.request),
+                                          static_cast<double>(std::max(admission.tokens, 0)),
+                                          admission.givenBack,
+                                          std::max(admission.limit, 0.0) });
     }
     for (const wire::PromptAnswer &answer : message.promptAnswers) {
-        out.promptAnswers.push_back({ static_cast<std::uint64_t>(answer.request),
-                                      millisecond * std::max(answer.waitMillis, 0),
-                                      answer.copyWanted, answer.permit });
+        out.admissionReplies.push_back({ static_cast<std::uint64_t>(answer.request),
+                                         millisecond * std::max(answer.waitMillis, 0),
+                                         answer.copyWanted, answer.permit });
     }
     for (const wire::AdapterAt &place : message.loadRequests)
         out.loadRequests.push_back({ UpstreamId{ place.engine }, { place.model, place.adapter } });
--- a/packages/gateway/src/gossip_exchange.cpp
+++ b/packages/gateway/src/gossip_exchange.cpp
@@ -1,4 +1,4 @@
-#include "engine_places.h"
+#include "engine_slots.h"
 
 #include <algorithm>
 
@@ -26,18 +26,19 @@
 {
     if (message.newestChange <= state.published.revision)
         return;
-    if (state.behind.upTo <= state.published.revision)
-        state.behind.since = now;
-    state.behind.upTo = std::max(state.behind.upTo, message.newestChange);
+    if (state.revisionLag.latestRevision <= state.published.revision)
+        state.revisionLag.since = now;
+    state.revisionLag.latestRevision = std::max(state.revisionLag.latestRevision,
+                                                message.newestChange);
     const bool isDue = isSmallFleet(state) || message.zone == state.self.zone
             || state.platform == PlatformView::Failing || state.configuration.version == 0
-            || now - state.behind.since >= zoneUpdateTimeout;
+            || now - state.revisionLag.since >= zoneUpdateTimeout;
     const bool isPartPending = !state.partialItems.byKey.empty()
             && now < state.partialItems.lastPartAt + nextPartTimeout;
-    if (!isDue || isPartPending || now < state.nextAskForChangesAt)
+    if (!isDue || isPartPending || now < state.nextChangesRequestAt)
         return;
-    state.nextAskForChangesAt = now + changesInterval;
-    Gossip request = blankGossip(state, now);
+    state.nextChangesRequestAt = now + changesInterval;
+    Gossip request = messageHeader(state, now);
     request.wantsChanges = true;
     send(state, message.address, message.zone, MessageKind::ChangesRequest, std::move(request),
          actions);
@@ -53,7 +54,7 @@
     packItem(packed, changes.items.front());
     packed.nextSendAt = now + linkPauseAfter(packed.bytes.size(), state.self.linkMbps);
     for (ItemPart &part : splitItem(changes, packed)) {
-        Gossip message = blankGossip(state, now);
+        Gossip message = messageHeader(state, now);
         message.itemParts.push_back(std::move(part));
         send(state, to.address, to.zone, MessageKind::Changes, std::move(message), actions);
     }
@@ -63,7 +64,7 @@
 void takePublished(GatewayState &state, const PublishedChanges &changes,
                    std::uint64_t senderRevision)
 {
-    const std::vector<PublishedItem> items = takeChanges(state.published, changes, senderRevision);
+    const std::vector<PublishedItem> items = applyChanges(state.published, changes, senderRevision);
     state.undecoded.insert(state.undecoded.end(), items.begin(), items.end());
 }
 
@@ -103,7 +104,7 @@
         sendInParts(state, to, changes, now, actions);
         return;
     }
-    Gossip message = blankGossip(state, now);
+    Gossip message = messageHeader(state, now);
     message.changes.push_back(std::move(changes));
     send(state, to.address, to.zone, MessageKind::Changes, std::move(message), actions);
 }
@@ -115,10 +116,10 @@
     for (const AdapterUse &use : message.adapterUses) {
         OrderedEngine &engine = state.engines[use.engine];
         const AdapterRef ref = refOf(use.adapter);
-        noteOtherUse(engine.otherUses, ref, message.from, use.isRunning, updateInterval, now);
+        recordRemoteUse(engine.remoteUses, ref, message.from, use.isRunning, updateInterval, now);
         engine.awaitedUntil.erase(ref);
         if (use.begun > 0 && engine.adapters.adapters.contains(ref))
-            noteUses(engine.adapters, ref, use.begun, now);
+            recordUses(engine.adapters, ref, use.begun, now);
     }
 }
 
@@ -129,26 +130,26 @@
 {
     OrderedEngine &engine = state.engines[request.engine];
     if (from.zone != state.self.zone)
-        engine.awaitedBy[from.from] = now + loadUpdatePeriod;
+        engine.requestingHosts[from.from] = now + loadUpdatePeriod;
     // Small fleets are notified of each load when it is ordered.
     const AdapterState known = stateOf(engine, refOf(request.adapter));
     if (isSmallFleet(state) || (known != AdapterState::Loading && known != AdapterState::Loaded))
         return;
-    Gossip reply = blankGossip(state, now);
+    Gossip reply = messageHeader(state, now);
     reply.engines.push_back({ request.engine, state.upstreams.at(request.engine).engine });
-    send(state, from.address, from.zone, MessageKind::EngineNews, std::move(reply), actions);
+    send(state, from.address, from.zone, MessageKind::EngineUpdate, std::move(reply), actions);
 }
 
 void answerLoadRequest(GatewayState &state, const LoadRequest &request, const Gossip &from,
                        Instant now, Actions &actions)
 {
-    const LoadProspect prospect = wantLoad(state, request, now);
+    const LoadProspect prospect = enqueueLoad(state, request, now);
     if (prospect == LoadProspect::Coming) {
         noteLoadRequester(state, request, from, now, actions);
         return;
     }
     const bool isStoreBusy = prospect == LoadProspect::StoreBusy;
-    Gossip reply = blankGossip(state, now);
+    Gossip reply = messageHeader(state, now);
     reply.loadRefusals.push_back({ request.engine, request.adapter, isStoreBusy });
     send(state, from.address, from.zone, MessageKind::LoadRefusal, std::move(reply), actions);
 }
@@ -167,39 +168,39 @@
 
 /// Replies when a prompt may be sent to an engine that this host coordinates. Until the prompt
 /// arrives there, its adapter counts as in use.
-void answerPrompt(GatewayState &state, const Gossip &from, const PromptAsk &admission, Instant now,
-                  Actions &actions)
+void answerPrompt(GatewayState &state, const Gossip &from, const AdmissionRequest &admission,
+                  Instant now, Actions &actions)
 {
     const auto found = state.upstreams.find(admission.engine);
     if (found == state.upstreams.end())
         return;
     OrderedEngine &engine = state.engines[admission.engine];
-    if (admission.isGivenBack) {
-        giveBackTurn(state, engine, found->second, admission);
+    if (admission.isReturned) {
+        releaseAdmission(state, engine, found->second, admission);
         return;
     }
     if (!admission.adapter.isBase()) {
         const Span updateInterval = heartbeatInterval(state.members,
                                                       state.members.others.at(from.from));
-        noteOtherUse(engine.otherUses, refOf(admission.adapter), from.from, true, updateInterval,
-                     now);
+        recordRemoteUse(engine.remoteUses, refOf(admission.adapter), from.from, true,
+                        updateInterval, now);
     }
-    const PromptTurn turn = takeTurnAt(state, engine, found->second, admission, now);
-    Gossip reply = blankGossip(state, now);
-    reply.promptAnswers.push_back(
+    const PromptAdmission turn = admitPromptAt(state, engine, found->second, admission, now);
+    Gossip reply = messageHeader(state, now);
+    reply.admissionReplies.push_back(
             { admission.request, turn.wait, turn.isCopyWanted, turn.isPermit });
-    send(state, from.address, from.zone, MessageKind::PromptAnswer, std::move(reply), actions);
+    send(state, from.address, from.zone, MessageKind::AdmissionReply, std::move(reply), actions);
 }
 
-void takeAnswer(GatewayState &state, const PromptAnswer &answer, Instant now, Actions &actions)
+void takeAnswer(GatewayState &state, const AdmissionReply &answer, Instant now, Actions &actions)
 {
     const auto found = state.requests.find(RequestNumber{ answer.request });
     if (found == state.requests.end() || found->second.phase != RequestPhase::Waiting
-        || found->second.turn != PromptTurnState::Asked)
+        || found->second.admissionState != PromptAdmissionState::AwaitingAnswer)
         return;
-    noteTurn(state, found->second, { answer.wait, answer.isCopyWanted, answer.isPermit }, now,
-             actions);
-    if (found->second.turnAt <= now || isTooLate(found->second))
+    handleAdmission(state, found->second, { answer.wait, answer.isCopyWanted, answer.isPermit },
+                    now, actions);
+    if (found->second.admissionAt <= now || isPermitTooLate(found->second))
         place(state, found->second, now, actions);
 }
 
@@ -229,8 +230,8 @@
 
 } // namespace
 
-void takeUses(GatewayState &state, const HostId &from, Incarnation incarnation,
-              const std::vector<CustomerUse> &uses, Instant now)
+void handleUses(GatewayState &state, const HostId &from, Incarnation incarnation,
+                const std::vector<CustomerUse> &uses, Instant now)
 {
     for (const CustomerUse &use : uses) {
         noteAdmittedElsewhere(state.meters[use.customer], from, incarnation, use.admitted,
@@ -238,19 +239,20 @@
     }
 }
 
-void takeNews(GatewayState &state, const HostId &from, const EngineNews &update, Instant now)
+void handleEngineUpdate(GatewayState &state, const HostId &from, const EngineUpdate &update,
+                        Instant now)
 {
     const auto found = state.upstreams.find(update.engine);
     if (found == state.upstreams.end())
         return;
     Upstream &upstream = found->second;
-    upstream.toldBy = from;
-    upstream.toldAt = now;
+    upstream.updatedBy = from;
+    upstream.updatedAt = now;
     noteNews(state.engines[update.engine].rights, update.state, now);
-    noteLives(state, upstream, update.state.start, update.state.seenAt);
+    recordStart(state, upstream, update.state.start, update.state.seenAt);
     if (update.state.seenAt < upstream.engine.seenAt)
         return;
-    setEngine(upstream, update.state, state.lastHolders, now);
+    setEngine(upstream, update.state, state.lastEngines, now);
     if (update.state.seenAt > upstream.loadAt) {
         upstream.load = { update.state.running, update.state.waiting, upstream.listed.slots };
         upstream.loadAt = update.state.seenAt;
@@ -265,7 +267,7 @@
         return;
     notifyReturned(state, message.from, now);
     if (isNew) {
-        actions.notes.push_back({ "peer_found", { { "peer", message.from.value } } });
+        actions.logEvents.push_back({ "peer_found", { { "peer", message.from.value } } });
     }
     if (message.platform == PlatformView::Failing && message.zone == state.self.zone
         && state.platform == PlatformView::NotRead)
@@ -276,21 +278,21 @@
                            { member.id, member.zone, member.address, member.incarnation,
                              now - member.silentFor, now - member.silentFor });
     }
-    takeUses(state, message.from, message.incarnation, message.uses, now);
-    for (const EngineNews &update : message.engines)
-        takeNews(state, message.from, update, now);
-    takeSuspicions(state, message.crashes, now, actions);
-    takeLimits(state, message.limits, actions);
-    takeRelayed(state, message, now, actions);
+    handleUses(state, message.from, message.incarnation, message.uses, now);
+    for (const EngineUpdate &update : message.engines)
+        handleEngineUpdate(state, message.from, update, now);
+    handleSuspicions(state, message.crashes, now, actions);
+    handleLimits(state, message.limits, actions);
+    handleRelayed(state, message, now, actions);
     takeAdapterUses(state, message, now);
     for (const PromptWork &work : message.promptWork) {
         const auto upstream = state.upstreams.find(work.engine);
         if (upstream != state.upstreams.end())
             upstream->second.otherPrompts[message.from] = { work.tokens, now };
     }
-    for (const PromptAsk &admission : message.promptAsks)
+    for (const AdmissionRequest &admission : message.admissionRequests)
         answerPrompt(state, message, admission, now, actions);
-    for (const PromptAnswer &answer : message.promptAnswers)
+    for (const AdmissionReply &answer : message.admissionReplies)
         takeAnswer(state, answer, now, actions);
     for (const LoadRequest &request : message.loadRequests)
         answerLoadRequest(state, request, message, now, actions);
@@ -300,10 +302,10 @@
         takePublished(state, changes, message.revision);
     for (const ItemPart &part : message.itemParts)
         takePart(state, part, message.revision, now);
-    for (const EngineNews &update : message.engines)
+    for (const EngineUpdate &update : message.engines)
         placeWaitingAt(state, update.engine, now, actions);
-    for (const RelayedNews &relayed : message.relayed) {
-        for (const EngineNews &update : relayed.engines)
+    for (const RelayedUpdate &relayed : message.relayed) {
+        for (const EngineUpdate &update : relayed.engines)
             placeWaitingAt(state, update.engine, now, actions);
     }
     if (!message.loadRefusals.empty())
--- a/packages/gateway/src/heartbeats.cpp
+++ b/packages/gateway/src/heartbeats.cpp
@@ -39,17 +39,17 @@
 void addMembers(GatewayState &state, Gossip &message, std::size_t max, Instant now)
 {
     const std::map<HostId, Member> &others = state.members.others;
-    auto next = others.upper_bound(state.lastMemberTold);
+    auto next = others.upper_bound(state.lastMemberSent);
     for (std::size_t visited = 0; visited < others.size() && message.members.size() < max;
          ++visited) {
         if (next == others.end())
             next = others.begin();
         const Member &member = next->second;
-        if (!member.isLeaving && isHeard(state.members, member, now)) {
+        if (!member.isLeaving && isMemberReachable(state.members, member, now)) {
             message.members.push_back({ member.id, member.zone, member.address, member.incarnation,
                                         now - member.lastMessageAt });
         }
-        state.lastMemberTold = member.id;
+        state.lastMemberSent = member.id;
         ++next;
     }
 }
@@ -75,7 +75,7 @@
     for (const UpstreamId &id : used) {
         const auto upstream = state.upstreams.find(id);
         if (upstream == state.upstreams.end()
-            || askedHolder(state, upstream->second, now) != coordinator)
+            || coordinatorOf(state, upstream->second, now) != coordinator)
             continue;
         const std::vector<AdapterUse> here = takeUntold(state.ownUses, id);
         uses.insert(uses.end(), here.begin(), here.end());
@@ -99,9 +99,9 @@
         due.push_back(&state.members.others.at(*id));
     if (due.empty())
         return;
-    const Gossip bare = blankGossip(state, now);
+    const Gossip bare = messageHeader(state, now);
     Gossip full = bare;
-    addRegularNews(state, full, now);
+    addPeriodicUpdates(state, full, now);
     for (Member *member : due) {
         setHeartbeat(state.members, *member, now + heartbeatInterval(state.members, *member));
         const bool isRelayed = !isSmallFleet(state) && member->zone != state.self.zone;
@@ -123,16 +123,17 @@
 {
     if (now < state.nextSeedsAt)
         return;
-    const bool isAlone = countHeard(state.members, now) < state.self.seeds.size();
+    const bool isAlone = countReachable(state.members, now) < state.self.seeds.size();
     state.nextSeedsAt = now + (isAlone ? shortSeedInterval : longSeedInterval);
     for (const Endpoint &seed : state.self.seeds) {
         const auto &others = state.members.others;
         const bool hasAnswered = std::any_of(others.begin(), others.end(), [&](const auto &entry) {
-            return entry.second.address == seed && isHeard(state.members, entry.second, now);
+            return entry.second.address == seed
+                    && isMemberReachable(state.members, entry.second, now);
         });
         if (seed == state.self.address || hasAnswered)
             continue;
-        Gossip message = blankGossip(state, now);
+        Gossip message = messageHeader(state, now);
         addMembers(state, message, maxMembersToNew, now);
         // The zone of a seed is still unknown.
         send(state, seed, state.self.zone, MessageKind::ToSeed, std::move(message), actions);
@@ -146,15 +147,16 @@
     if (now < state.nextTidyAt)
         return;
     state.nextTidyAt = now + cleanupInterval;
-    std::erase_if(state.adapterDemand,
-                  [now](const auto &entry) { return valueAt(entry.second, demandLife, now) < 1; });
+    std::erase_if(state.adapterDemand, [now](const auto &entry) {
+        return valueAt(entry.second, demandDecayTime, now) < 1;
+    });
     usesAtEnginesOf(state, state.self.id, now);
     std::erase_if(state.ownUses, [&](const auto &entry) {
         return entry.second.running == 0 && !state.upstreams.contains(entry.first.first);
     });
     for (auto &[id, engine] : state.engines) {
         tidy(engine.pacer, now);
-        std::erase_if(engine.awaitedBy,
+        std::erase_if(engine.requestingHosts,
                       [now](const auto &requester) { return now >= requester.second; });
         std::erase_if(engine.awaitedUntil, [now](const auto &load) { return now >= load.second; });
     }
@@ -187,7 +189,7 @@
 {
     removeExpired(state, now);
     contactSeeds(state, now, actions);
-    sendNews(state, now, actions);
+    sendUpdates(state, now, actions);
     runRelay(state, now, actions);
     sendHeartbeats(state, now, actions);
 }
--- a/packages/gateway/src/internal.h
+++ b/packages/gateway/src/internal.h
@@ -6,7 +6,7 @@
 
 /// Retry-after time of refusals whose cause ends within a short time. A crashed or full engine has
 /// capacity again within about a second; callers wait at most a third of their remaining time.
-inline constexpr Span soon = std::chrono::milliseconds(400);
+inline constexpr Span shortRetryAfter = std::chrono::milliseconds(400);
 
 /// Refuses the request of \a record and deletes \a record.
 void refuseAndForget(GatewayState &state, RequestRecord &record, ResultCode code, Span retryAfter,
@@ -52,8 +52,8 @@
 /// Load pattern: a popular adapter is on several engines, and each host sends a prompt to them only
 /// every few seconds and so knows only outdated loads. Without a second request it would queue at
 /// one engine while the others are idle.
-void noteTurn(GatewayState &state, RequestRecord &record, const PromptTurn &turn, Instant now,
-              Actions &actions);
+void handleAdmission(GatewayState &state, RequestRecord &record, const PromptAdmission &turn,
+                     Instant now, Actions &actions);
 
 /// Whether the prompt of \a record, for which admission was requested, may be sent now. True after
 /// a timeout if no answer came.
@@ -61,12 +61,13 @@
 
 /// Admits the prompt of \a request at \a upstream, which this host coordinates, after the prompts
 /// ahead of it and within the rate limit of the upstream.
-PromptTurn takeTurnAt(const GatewayState &state, OrderedEngine &engine, const Upstream &upstream,
-                      const PromptAsk &request, Instant now);
+PromptAdmission admitPromptAt(const GatewayState &state, OrderedEngine &engine,
+                              const Upstream &upstream, const AdmissionRequest &request,
+                              Instant now);
 
 /// Cancels an unused admission.
-void giveBackTurn(const GatewayState &state, OrderedEngine &engine, const Upstream &upstream,
-                  const PromptAsk &request);
+void releaseAdmission(const GatewayState &state, OrderedEngine &engine, const Upstream &upstream,
+                      const AdmissionRequest &request);
 
 /// Whether a request for \a model needs admission at \a upstream.
 bool needsAdmission(const GatewayState &state, const Upstream &upstream, const ModelName &model,
@@ -76,7 +77,7 @@
 bool lacksPermit(const RequestRecord &record, const Upstream &upstream, Instant now);
 
 /// Whether the permit of \a record becomes valid only after the placement deadline.
-bool isTooLate(const RequestRecord &record);
+bool isPermitTooLate(const RequestRecord &record);
 
 /// Excludes \a limited, whose permit comes too late, and lets \a record be placed at another
 /// upstream.
@@ -109,7 +110,7 @@
                          Instant now, Actions &actions);
 
 /// Handles the request of another host, or of this one, to load an adapter at an engine.
-LoadProspect wantLoad(GatewayState &state, const LoadRequest &request, Instant now);
+LoadProspect enqueueLoad(GatewayState &state, const LoadRequest &request, Instant now);
 
 /// Refuses the requests that wait for \a adapter, as the weight store cannot deliver it in time.
 void refuseWaiting(GatewayState &state, const ModelName &adapter, Instant now, Actions &actions);
@@ -132,7 +133,7 @@
             Actions &actions);
 
 /// A message with only the identity of this host and its revision of published changes.
-Gossip blankGossip(const GatewayState &state, Instant now);
+Gossip messageHeader(const GatewayState &state, Instant now);
 
 /// Whether each host sends updates on prompts, loads and the use of customers near their limit at
 /// the next tick. In a larger fleet that would be too many messages, and each host has a smaller
@@ -141,35 +142,36 @@
 
 /// Adds the periodic updates on engines, work and customers' use. In a large fleet the other zones
 /// are updated through relays.
-void addRegularNews(GatewayState &state, Gossip &message, Instant now);
+void addPeriodicUpdates(GatewayState &state, Gossip &message, Instant now);
 
 /// Sends pending updates to other hosts.
-void sendNews(GatewayState &state, Instant now, Actions &actions);
+void sendUpdates(GatewayState &state, Instant now, Actions &actions);
 
 /// Sends heartbeats and updates that are due.
 void runGossip(GatewayState &state, Instant now, Actions &actions);
 
 /// Sends updates of this host to all other hosts through a relay. Engine updates to hosts of its
 /// own zone are sent directly.
-void tellFleet(GatewayState &state, RelayedNews news, Instant now, Actions &actions);
+void sendToFleet(GatewayState &state, RelayedUpdate news, Instant now, Actions &actions);
 
 /// Sends suspicions and limits to all other hosts at once, whether they are reachable or not; in a
 /// large fleet through a relay.
-void tellAll(GatewayState &state, MessageKind kind, RelayedNews news, Instant now,
-             Actions &actions);
+void sendToAll(GatewayState &state, MessageKind kind, RelayedUpdate news, Instant now,
+               Actions &actions);
 
 /// Handles updates that other hosts relayed, and relays updates on request.
-void takeRelayed(GatewayState &state, const Gossip &message, Instant now, Actions &actions);
+void handleRelayed(GatewayState &state, const Gossip &message, Instant now, Actions &actions);
 
 /// Sends the collected relay messages that are due.
 void runRelay(GatewayState &state, Instant now, Actions &actions);
 
 /// Handles the use of customers' limits that \a from admitted in its current incarnation.
-void takeUses(GatewayState &state, const HostId &from, Incarnation incarnation,
-              const std::vector<CustomerUse> &uses, Instant now);
+void handleUses(GatewayState &state, const HostId &from, Incarnation incarnation,
+                const std::vector<CustomerUse> &uses, Instant now);
 
 /// Handles an update from the coordinator of an engine. Drops it if the state known here is newer.
-void takeNews(GatewayState &state, const HostId &from, const EngineNews &news, Instant now);
+void handleEngineUpdate(GatewayState &state, const HostId &from, const EngineUpdate &news,
+                        Instant now);
 
 /// Records that a request of this host uses an adapter at an engine.
 void recordUse(GatewayState &state, const UpstreamId &engine, const ModelName &adapter,
@@ -180,35 +182,36 @@
 void sendAdapterUses(GatewayState &state, const Upstream &engine, Instant now, Actions &actions);
 
 /// Handles a connection to an upstream that ended before the answer to \a record was complete.
-void noteCutOff(GatewayState &state, const RequestRecord &record, Instant now, Actions &actions);
+void noteConnectionLost(GatewayState &state, const RequestRecord &record, Instant now,
+                        Actions &actions);
 
 /// Handles the crash suspicions of other hosts.
-void takeSuspicions(GatewayState &state, const std::vector<CrashSuspicion> &suspicions, Instant now,
-                    Actions &actions);
+void handleSuspicions(GatewayState &state, const std::vector<CrashSuspicion> &suspicions,
+                      Instant now, Actions &actions);
 
 /// Records that \a upstream answered a call that was sent at \a sentAt, in the process that started
 /// at \a start.
-void noteLives(GatewayState &state, Upstream &upstream, std::int64_t start, Instant sentAt);
+void recordStart(GatewayState &state, Upstream &upstream, std::int64_t start, Instant sentAt);
 
 /// Whether \a record may not be sent: it is in quarantine, or upstreams may have crashed on it and
 /// another copy of it is at one. Copies sent together would crash as many upstreams before the
 /// first crash is known.
-bool isKeptBack(const GatewayState &state, const RequestRecord &record);
+bool isDispatchBlocked(const GatewayState &state, const RequestRecord &record);
 
 /// Refuses \a record, which is in quarantine (see crash_quarantine.h).
 void refuseQuarantined(GatewayState &state, RequestRecord &record, Instant now, Actions &actions);
 
 /// Sends suspicions about requests on which upstreams may have crashed to other hosts.
-void tellSuspicions(GatewayState &state, Instant now, Actions &actions);
+void sendSuspicions(GatewayState &state, Instant now, Actions &actions);
 
 /// Updates the rate limit of \a upstream from \a observation and logs a change.
 LimitChange applyLimit(Upstream &upstream, const LimitObservation &observation, Actions &actions);
 
 /// Handles rate limits that other hosts observed.
-void takeLimits(GatewayState &state, const std::vector<UpstreamLimit> &limits, Actions &actions);
+void handleLimits(GatewayState &state, const std::vector<UpstreamLimit> &limits, Actions &actions);
 
 /// Sends rate limits to other hosts that are new or were not sent recently.
-void tellLimits(GatewayState &state, Instant now, Actions &actions);
+void sendLimits(GatewayState &state, Instant now, Actions &actions);
 
 /// What is known of customers' use from before the start of this process.
 MeterStart meterStart(const GatewayState &state, Instant now);
@@ -222,7 +225,7 @@
 /// The host to send load requests and adapter uses for \a engine to. The sender of a recent update
 /// on the engine is preferred to the host that ranks first here: a lost host is noticed late in
 /// other zones, while the new coordinator sends updates at once.
-HostId askedHolder(GatewayState &state, const Upstream &engine, Instant now);
+HostId coordinatorOf(GatewayState &state, const Upstream &engine, Instant now);
 
 /// How long an update on an engine stays valid; coordinators repeat it with each heartbeat.
 Span updateValidity(const GatewayState &state, const Upstream &engine);
--- a/packages/gateway/src/limits.cpp
+++ b/packages/gateway/src/limits.cpp
@@ -14,7 +14,7 @@
 void logLimitChange(const Upstream &upstream, LimitChange change, Actions &actions)
 {
     const bool isNew = change == LimitChange::Begun;
-    actions.notes.push_back(
+    actions.logEvents.push_back(
             { isNew ? "upstream_limit_stated" : "upstream_limit_ended",
               { { "upstream", upstream.listed.id.value },
                 { "per_second", fmt::format("{:g}", upstream.limit.perSecond) },
@@ -38,7 +38,7 @@
         return;
     Upstream &upstream = found->second;
     const Instant statedBefore = upstream.limit.statedAt;
-    const std::int64_t start = lifeOf(upstream).start;
+    const std::int64_t start = incarnationOf(upstream).start;
     const LimitChange change = applyLimit(
             upstream, { event.perSecond, start, event.sentAt, now, event.isReport }, actions);
     const bool isRenewalDue = change == LimitChange::Renewed
@@ -47,7 +47,7 @@
         state.limitsToSend.insert(event.upstream);
 }
 
-void takeLimits(GatewayState &state, const std::vector<UpstreamLimit> &limits, Actions &actions)
+void handleLimits(GatewayState &state, const std::vector<UpstreamLimit> &limits, Actions &actions)
 {
     for (const UpstreamLimit &limit : limits) {
         const auto found = state.upstreams.find(limit.upstream);
@@ -57,11 +57,11 @@
     }
 }
 
-void tellLimits(GatewayState &state, Instant now, Actions &actions)
+void sendLimits(GatewayState &state, Instant now, Actions &actions)
 {
     if (state.limitsToSend.empty())
         return;
-    RelayedNews news;
+    RelayedUpdate news;
     for (const UpstreamId &id : std::exchange(state.limitsToSend, {})) {
         const auto found = state.upstreams.find(id);
         if (found == state.upstreams.end())
@@ -71,7 +71,7 @@
         news.limits.push_back(
                 { id, limit.start, limit.perSecond, isStated ? limit.statedAt : limit.endedAt });
     }
-    tellAll(state, MessageKind::UpstreamLimits, std::move(news), now, actions);
+    sendToAll(state, MessageKind::UpstreamLimits, std::move(news), now, actions);
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/load_times.cpp
+++ b/packages/gateway/src/load_times.cpp
@@ -47,12 +47,12 @@
 
 LoadTime &timeOf(LoadTimes &times, const LoadInProgress &load)
 {
-    return load.isHeldLately ? times.fromHostMemory : times.fromStore;
+    return load.isInHostMemory ? times.fromHostMemory : times.fromStore;
 }
 
 const LoadTime &timeOf(const LoadTimes &times, const LoadInProgress &load)
 {
-    return load.isHeldLately ? times.fromHostMemory : times.fromStore;
+    return load.isInHostMemory ? times.fromHostMemory : times.fromStore;
 }
 
 void recordAccepted(LoadTime &time, Span elapsed)
--- a/packages/gateway/src/loads.cpp
+++ b/packages/gateway/src/loads.cpp
@@ -37,26 +37,26 @@
         otherNeed.excluded.insert(awaited.refusedBy.begin(), awaited.refusedBy.end());
         const Service *service = findService(state.configuration, need.service);
         const Upstream *engine = chooseEngineToLoad(
-                state.upstreams, otherNeed, state.lastHolders,
-                service->engine ? service->engine->adapterPlaces : 0, now);
+                state.upstreams, otherNeed, state.lastEngines,
+                service->engine ? service->engine->maxLoadedAdapters : 0, now);
         if (!engine) {
             state.awaitedLoads.erase(adapter);
             return LoadProspect::Unavailable;
         }
         awaited.engine = engine->listed.id;
         awaited.otherEngineAt = now + otherEngineDelay;
-        awaited.askAgainAt = now;
+        awaited.resendAt = now;
     }
-    if (now < awaited.askAgainAt)
+    if (now < awaited.resendAt)
         return LoadProspect::Coming;
-    awaited.askAgainAt = now + loadRequestInterval;
+    awaited.resendAt = now + loadRequestInterval;
     const Upstream &engine = state.upstreams.at(awaited.engine);
     if (engine.engine.isLoading(adapter))
         return LoadProspect::Coming;
     const LoadRequest request{ awaited.engine, adapter };
-    const HostId coordinator = askedHolder(state, engine, now);
+    const HostId coordinator = coordinatorOf(state, engine, now);
     if (coordinator == state.self.id) {
-        const LoadProspect prospect = wantLoad(state, request, now);
+        const LoadProspect prospect = enqueueLoad(state, request, now);
         if (prospect == LoadProspect::Unavailable) {
             awaited.refusedBy.insert(awaited.engine);
             awaited.otherEngineAt = now;
@@ -66,7 +66,7 @@
             state.awaitedLoads.erase(adapter);
         return prospect;
     }
-    Gossip message = blankGossip(state, now);
+    Gossip message = messageHeader(state, now);
     message.loadRequests.push_back(request);
     sendTo(state, coordinator, MessageKind::LoadRequest, std::move(message), actions);
     return LoadProspect::Coming;
@@ -74,10 +74,10 @@
 
 void sendAdapterUses(GatewayState &state, const Upstream &engine, Instant now, Actions &actions)
 {
-    const HostId coordinator = askedHolder(state, engine, now);
+    const HostId coordinator = coordinatorOf(state, engine, now);
     if (coordinator == state.self.id)
         return;
-    Gossip message = blankGossip(state, now);
+    Gossip message = messageHeader(state, now);
     message.adapterUses = takeUntold(state.ownUses, engine.listed.id);
     sendTo(state, coordinator, MessageKind::AdapterUses, std::move(message), actions);
 }
--- a/packages/gateway/src/members.cpp
+++ b/packages/gateway/src/members.cpp
@@ -89,7 +89,7 @@
 
 void updateReachability(Members &members, Member &member, Instant now)
 {
-    const bool isReachableNow = !member.isLeaving && isHeard(members, member, now);
+    const bool isReachableNow = !member.isLeaving && isMemberReachable(members, member, now);
     if (isReachableNow != member.wasReachable)
         members.changedAt = now;
     member.wasReachable = isReachableNow;
@@ -138,18 +138,18 @@
 {
     HeartbeatPlan plan;
     plan.inZone = intervalOf(inZone, maxPerSecondInZone);
-    plan.elsewhere = intervalOf(elsewhere, maxPerSecondElsewhere);
+    plan.inOtherZones = intervalOf(elsewhere, maxPerSecondElsewhere);
     plan.timeoutInZone = timeoutOf(plan.inZone, missedInZone);
-    plan.timeoutElsewhere = timeoutOf(plan.elsewhere, missedElsewhere);
+    plan.timeoutElsewhere = timeoutOf(plan.inOtherZones, missedElsewhere);
     return plan;
 }
 
 Span heartbeatInterval(const Members &members, const Member &member)
 {
-    return member.zone == members.zone ? members.plan.inZone : members.plan.elsewhere;
+    return member.zone == members.zone ? members.plan.inZone : members.plan.inOtherZones;
 }
 
-bool isHeard(const Members &members, const Member &member, Instant now)
+bool isMemberReachable(const Members &members, const Member &member, Instant now)
 {
     return now - member.lastMessageAt < heartbeatTimeout(members, member);
 }
@@ -217,9 +217,9 @@
 
 void updateMembers(Members &members, Instant now)
 {
-    if (now - members.lookedAt > pausedAfter)
+    if (now - members.lastUpdateAt > pauseThreshold)
         members.changedAt = now;
-    members.lookedAt = now;
+    members.lastUpdateAt = now;
     checkDue(members, now);
     if (!std::exchange(members.isPlanStale, false))
         return;
@@ -229,21 +229,22 @@
     checkDue(members, now);
 }
 
-std::size_t countHeard(const Members &members, Instant now)
+std::size_t countReachable(const Members &members, Instant now)
 {
     return static_cast<std::size_t>(
             std::count_if(members.others.begin(), members.others.end(), [&](const auto &entry) {
-                return !entry.second.isLeaving && isHeard(members, entry.second, now);
+                return !entry.second.isLeaving && isMemberReachable(members, entry.second, now);
             }));
 }
 
 bool haveMostRunSince(const Members &members, Instant then, Instant now)
 {
-    const auto running = std::count_if(
-            members.others.begin(), members.others.end(), [&](const auto &entry) {
-                return isHeard(members, entry.second, now) && entry.second.startedAt <= then;
-            });
-    return 2 * static_cast<std::size_t>(running) > countHeard(members, now);
+    const auto running = std::count_if(members.others.begin(), members.others.end(),
+                                       [&](const auto &entry) {
+                                           return isMemberReachable(members, entry.second, now)
+                                                   && entry.second.startedAt <= then;
+                                       });
+    return 2 * static_cast<std::size_t>(running) > countReachable(members, now);
 }
 
 std::size_t countKnown(const Members &members)
@@ -253,9 +254,9 @@
                           [](const auto &entry) { return !entry.second.isLeaving; }));
 }
 
-bool isAnySilent(const Members &members, Instant now)
+bool isAnyUnreachable(const Members &members, Instant now)
 {
-    return countKnown(members) > countHeard(members, now);
+    return countKnown(members) > countReachable(members, now);
 }
 
 std::vector<HostId> rankedHosts(const Members &members, const ZoneId &zone, std::string_view key)
@@ -274,7 +275,7 @@
     return ids;
 }
 
-HostId firstAlive(const Members &members, const ZoneId &zone, std::string_view key, Instant now)
+HostId firstLiveHost(const Members &members, const ZoneId &zone, std::string_view key, Instant now)
 {
     const std::uint64_t keyHash = stableHash(key);
     Candidate first = candidateOf(members, zone, keyHash);
--- a/packages/gateway/src/message_kind.cpp
+++ b/packages/gateway/src/message_kind.cpp
@@ -7,15 +7,15 @@
     switch (kind) {
     case MessageKind::Heartbeat:
         return "heartbeat";
-    case MessageKind::EngineNews:
+    case MessageKind::EngineUpdate:
         return "engine_news";
     case MessageKind::CustomerUses:
         return "customer_uses";
     case MessageKind::AdapterUses:
         return "adapter_uses";
-    case MessageKind::PromptAsk:
+    case MessageKind::AdmissionRequest:
         return "prompt_ask";
-    case MessageKind::PromptAnswer:
+    case MessageKind::AdmissionReply:
         return "prompt_answer";
     case MessageKind::LoadRequest:
         return "load_request";
@@ -29,7 +29,7 @@
         return "to_seed";
     case MessageKind::RelayRequest:
         return "relay_ask";
-    case MessageKind::RelayedNews:
+    case MessageKind::RelayedUpdate:
         return "relayed_news";
     case MessageKind::RelayAnswer:
         return "relay_answer";
@@ -44,7 +44,7 @@
 void countSent(SentCounts &counts, MessageKind kind, bool isToOtherZone, std::size_t bytes)
 {
     SentByZone &byZone = counts[kind];
-    SentCount &count = isToOtherZone ? byZone.elsewhere : byZone.inZone;
+    SentCount &count = isToOtherZone ? byZone.inOtherZones : byZone.inZone;
     ++count.messages;
     count.bytes += bytes;
 }
--- a/packages/gateway/src/order_rights.cpp
+++ b/packages/gateway/src/order_rights.cpp
@@ -19,9 +19,9 @@
     for (const auto &[id, member] : members.others) {
         const bool isInside = !member.isLeaving && member.zone == zone;
         zoneKnown += isInside ? 1 : 0;
-        zoneReachable += isInside && isHeard(members, member, now) ? 1 : 0;
+        zoneReachable += isInside && isMemberReachable(members, member, now) ? 1 : 0;
     }
-    const bool isMajority = 2 * (countHeard(members, now) + 1) > countKnown(members) + 1;
+    const bool isMajority = 2 * (countReachable(members, now) + 1) > countKnown(members) + 1;
     if (members.zone != zone)
         return zoneKnown == 0 && isMajority;
     return 2 * zoneReachable > zoneKnown || (2 * zoneReachable == zoneKnown && isMajority);
@@ -47,10 +47,10 @@
     // A report is delayed by up to reportValidity, so a count below the expected one is an old view
     // unless the engine has restarted. A restart resets the count to 0 and hides the last orders
     // before it.
-    const bool mayHideOrders = isRestarted && (!rights.isHolding || engine.ordersTaken != 0);
+    const bool mayHideOrders = isRestarted && (!rights.isCoordinating || engine.ordersTaken != 0);
     if (isFirstReport || hasMoved || mayHideOrders) {
         rights.unchangedSince = now;
-        rights.isHolding = false;
+        rights.isCoordinating = false;
         rights.expectedOrders = engine.ordersTaken;
     } else if (isRestarted || requestedAt > rights.lastOrderAt + reportValidity) {
         // An order that was answered as done may have had no effect and not been counted.
@@ -67,7 +67,7 @@
         && rights.unchangedSince.micros != 0)
         return;
     rights.unchangedSince = now;
-    rights.isHolding = false;
+    rights.isCoordinating = false;
     rights.expectedOrders = engine.ordersTaken;
     rights.start = engine.start;
 }
@@ -80,35 +80,35 @@
 
 HostId presumedCoordinator(const Upstream &engine, const Members &members, Instant now)
 {
-    return firstAlive(members, engine.listed.zone, engine.listed.id.value, now);
+    return firstLiveHost(members, engine.listed.zone, engine.listed.id.value, now);
 }
 
 bool mayOrder(OrderRights &rights, const Upstream &engine, const Members &members,
               const OrderStart &start, FencingNumber newFencing, Instant now)
 {
-    if (now - members.lookedAt > pausedAfter)
+    if (now - members.lastUpdateAt > pauseThreshold)
         return false;
     if (presumedCoordinator(engine, members, now) != members.self) {
-        rights.isHolding = false;
+        rights.isCoordinating = false;
         return false;
     }
     if (rights.unchangedSince.micros == 0 || now - rights.confirmedAt > reportValidity)
         return false;
-    if (rights.isHolding && now - rights.lastOrderAt < maxOrderGap)
+    if (rights.isCoordinating && now - rights.lastOrderAt < maxOrderGap)
         return true;
     if (rights.confirmedAt < members.changedAt + settlingTime(members))
         return false;
-    if (isAnySilent(members, now) && !hasQuorum(engine, members, now))
+    if (isAnyUnreachable(members, now) && !hasQuorum(engine, members, now))
         return false;
     const bool isFirst = start.isFirst && rights.expectedOrders == 0
             && now < start.startedAt + firstStartWindow;
     const bool isUnchanged = now - rights.unchangedSince >= takeoverWait;
     const bool isDue = isFirst ? now >= start.startedAt + firstStartDelay : isUnchanged;
-    if (!rights.isHolding && !isDue)
+    if (!rights.isCoordinating && !isDue)
         return false;
-    if (!rights.isHolding)
+    if (!rights.isCoordinating)
         rights.fencing = newFencing;
-    rights.isHolding = true;
+    rights.isCoordinating = true;
     return true;
 }
 
--- a/packages/gateway/src/placing.cpp
+++ b/packages/gateway/src/placing.cpp
@@ -25,7 +25,7 @@
 
 Span spreadRetryAfter(GatewayState &state)
 {
-    return soon + std::chrono::duration_cast<Span>(retryAfterSpread * draw(state));
+    return shortRetryAfter + std::chrono::duration_cast<Span>(retryAfterSpread * draw(state));
 }
 
 /// Wait in seconds at the engines that have a popular adapter from which on it is loaded at one
@@ -42,8 +42,9 @@
     const auto found = state.adapterDemand.find(adapter);
     if (found == state.adapterDemand.end())
         return 1;
-    const double perSecond = valueAt(found->second, demandLife, now) / toSeconds(demandLife);
-    const double hosts = static_cast<double>(countHeard(state.members, now) + 1);
+    const double perSecond = valueAt(found->second, demandDecayTime, now)
+            / toSeconds(demandDecayTime);
+    const double hosts = static_cast<double>(countReachable(state.members, now) + 1);
     return 1
             + static_cast<std::size_t>(perSecond * hosts
                                        / (shareOfOneCopy * prefillTokensPerSecond));
@@ -117,11 +118,12 @@
 /// it.
 bool isLoadInProgress(const GatewayState &state, const RequestRecord &record)
 {
-    const auto awaited = state.awaitedLoads.find(record.asked.model);
+    const auto awaited = state.awaitedLoads.find(record.arrivedRequest.model);
     if (awaited == state.awaitedLoads.end())
         return false;
     const auto engine = state.upstreams.find(awaited->second.engine);
-    return engine != state.upstreams.end() && engine->second.engine.isLoading(record.asked.model);
+    return engine != state.upstreams.end()
+            && engine->second.engine.isLoading(record.arrivedRequest.model);
 }
 
 /// The engine that admitted \a record, or \a otherwise if that engine can no longer be used.
@@ -138,7 +140,7 @@
 void markWaiting(GatewayState &state, RequestRecord &record)
 {
     record.phase = RequestPhase::Waiting;
-    state.waiting.insert(record.asked.request);
+    state.waiting.insert(record.arrivedRequest.request);
 }
 
 /// The shorter of two waits; 0 stands for none.
@@ -154,13 +156,13 @@
 {
     const bool isLimited = record.permitWait > Span{};
     refuseAndForget(state, record, isLimited ? ResultCode::UpstreamLimited : otherwise,
-                    isLimited ? std::max(record.permitWait, soon) : retryAfter, actions);
+                    isLimited ? std::max(record.permitWait, shortRetryAfter) : retryAfter, actions);
 }
 
 /// Places a waiting request, or refuses it if it has waited too long.
 void placeOrRefuse(GatewayState &state, RequestRecord &record, Instant now, Actions &actions)
 {
-    if (record.turn != PromptTurnState::NotRequested && now < record.turnAt)
+    if (record.admissionState != PromptAdmissionState::NotRequested && now < record.admissionAt)
         return;
     const Span grace = isLoadInProgress(state, record) ? loadInProgressGrace : Span{};
     const bool isOver = now >= std::min(record.placementDeadline + grace, record.deadline);
@@ -185,7 +187,7 @@
     need.service = record.service;
     const Service *service = findService(state.configuration, record.service);
     if (service && service->engine)
-        need.model = record.asked.model;
+        need.model = record.arrivedRequest.model;
     need.excluded = record.excluded;
     need.duration = expectedRequestDuration;
     need.zone = state.self.zone;
@@ -197,22 +199,22 @@
               const ModelName &model, Instant now, Actions &actions)
 {
     Upstream &upstream = state.upstreams.at(id);
-    ++upstream.underWay;
-    const double prompt = static_cast<double>(record.asked.promptTokens.count);
+    ++upstream.requestsInFlight;
+    const double prompt = static_cast<double>(record.arrivedRequest.promptTokens.count);
     record.sentAt = now;
     record.isEngineIdle = queuedPromptTokens(upstream, now) < prompt * maxIdleBacklogShare;
-    add(upstream.ownPrompts, prompt, promptLife, now);
-    state.newWork.insert(id);
-    state.sentTo.insert(id);
+    add(upstream.ownPrompts, prompt, promptDecayTime, now);
+    state.enginesWithNewPrompts.insert(id);
+    state.recentUpstreams.insert(id);
     if (!model.isBase())
-        add(state.adapterDemand[model], prompt, demandLife, now);
+        add(state.adapterDemand[model], prompt, demandDecayTime, now);
     record.phase = RequestPhase::AtUpstream;
     record.upstream = id;
-    record.hasAnswerBegun = false;
-    record.turn = PromptTurnState::NotRequested;
+    record.hasAnswerStarted = false;
+    record.admissionState = PromptAdmissionState::NotRequested;
     record.isPermit = false;
     ++record.attempt;
-    state.waiting.erase(record.asked.request);
+    state.waiting.erase(record.arrivedRequest.request);
     if (!model.isBase()) {
         recordUse(state, id, model, now);
         sendAdapterUses(state, upstream, now, actions);
@@ -221,7 +223,7 @@
     const bool isVersioned = state.versions.contains(model);
     const std::uint64_t version = loaded ? loaded->version : declaredVersion(state.versions, model);
     ++state.counters.dispatched;
-    actions.dispatches.push_back({ record.asked.request, record.attempt, id,
+    actions.dispatches.push_back({ record.arrivedRequest.request, record.attempt, id,
                                    upstream.listed.address, record.customer,
                                    isVersioned ? version : 0, record.deadline - now,
                                    record.repeat != RepeatPolicy::Stream });
@@ -245,12 +247,12 @@
     const auto engine = state.upstreams.find(record.upstream);
     if (engine == state.upstreams.end() || outcome == AttemptOutcome::Done)
         return;
-    const auto load = engine->second.loads.find(record.asked.model);
+    const auto load = engine->second.loads.find(record.arrivedRequest.model);
     if (load == engine->second.loads.end() || load->second.earlyAttemptAt.micros == 0)
         return;
     // A fault of the engine says nothing about the load.
     if (isTurnedAway(outcome)) {
-        recordRejected(timeOf(state.loadTimes[record.asked.model.model], load->second),
+        recordRejected(timeOf(state.loadTimes[record.arrivedRequest.model.model], load->second),
                        load->second.earlyAttemptAt - load->second.since);
     }
     endEarlyAttempt(load->second, now);
@@ -290,23 +292,23 @@
 
 void place(GatewayState &state, RequestRecord &record, Instant now, Actions &actions)
 {
-    if (isKeptBack(state, record)) {
+    if (isDispatchBlocked(state, record)) {
         refuseQuarantined(state, record, now, actions);
         return;
     }
     const UpstreamNeed need = needOf(state, record);
     const Upstream *chosen = chooseUpstream(state.upstreams, need, state.versions, draw(state),
                                             now);
-    if (chosen && record.turn == PromptTurnState::NotRequested
+    if (chosen && record.admissionState == PromptAdmissionState::NotRequested
         && shouldHold(record, *chosen, need, now)) {
         markWaiting(state, record);
         return;
     }
     if (chosen && needsAdmission(state, *chosen, need.model, now)) {
-        if (record.turn == PromptTurnState::NotRequested)
+        if (record.admissionState == PromptAdmissionState::NotRequested)
             requestAdmission(state, record, *chosen, now, actions);
-        if (isTooLate(record)) {
-            record.permitWait = shorterOf(record.permitWait, record.turnAt - now);
+        if (isPermitTooLate(record)) {
+            record.permitWait = shorterOf(record.permitWait, record.admissionAt - now);
             excludeUpstream(state, record, record.admissionEngine, now, actions);
             place(state, record, now, actions);
             return;
@@ -333,7 +335,7 @@
         && sendEarlyAttempt(state, record, need, now, actions))
         return;
     if (need.model.model.empty() || need.model.isBase()) {
-        refuseUnplaced(state, record, ResultCode::NoUpstream, soon, actions);
+        refuseUnplaced(state, record, ResultCode::NoUpstream, shortRetryAfter, actions);
         return;
     }
     switch (requestLoad(state, need.model, need, now, actions)) {
@@ -344,7 +346,7 @@
         refuseAndForget(state, record, ResultCode::QueueFull, spreadRetryAfter(state), actions);
         break;
     case LoadProspect::Unavailable:
-        refuseUnplaced(state, record, ResultCode::AdapterLoadFailed, soon, actions);
+        refuseUnplaced(state, record, ResultCode::AdapterLoadFailed, shortRetryAfter, actions);
         break;
     }
 }
@@ -356,7 +358,7 @@
         RequestRecord &record = state.requests.at(request);
         // Requests that wait for admission at an engine with the adapter are not affected; only an
         // additional copy is not loaded.
-        if (record.asked.model != adapter || isReadySomewhere(state, record, now))
+        if (record.arrivedRequest.model != adapter || isReadySomewhere(state, record, now))
             continue;
         refuseAndForget(state, record, ResultCode::QueueFull, spreadRetryAfter(state), actions);
     }
@@ -378,7 +380,7 @@
     const std::set<RequestNumber> waiting = state.waiting;
     for (const RequestNumber &request : waiting) {
         RequestRecord &record = state.requests.at(request);
-        if (found->second.engine.findReady(record.asked.model))
+        if (found->second.engine.findReady(record.arrivedRequest.model))
             placeOrRefuse(state, record, now, actions);
     }
 }
--- a/packages/gateway/src/platform_reader.cpp
+++ b/packages/gateway/src/platform_reader.cpp
@@ -58,7 +58,7 @@
         return "no_answer";
     case ReadFailure::ConnectionFailed:
         return "connection_failed";
-    case ReadFailure::TurnedAway:
+    case ReadFailure::Rejected:
         return "turned_away";
     case ReadFailure::Unreadable:
         return "unreadable";
--- a/packages/gateway/src/prompt_turns.cpp
+++ b/packages/gateway/src/prompt_admission.cpp
@@ -18,16 +18,17 @@
 
 double promptOf(const RequestRecord &record)
 {
-    return static_cast<double>(record.asked.promptTokens.count);
+    return static_cast<double>(record.arrivedRequest.promptTokens.count);
 }
 
 /// The admission request to the coordinator of \a upstream.
-PromptAsk admissionRequestFor(const RequestRecord &record, const Upstream &upstream, Instant now)
+AdmissionRequest admissionRequestFor(const RequestRecord &record, const Upstream &upstream,
+                                     Instant now)
 {
     const double limit = isInForce(upstream.limit, now) ? upstream.limit.perSecond : 0;
     return { upstream.listed.id,
-             record.asked.model,
-             record.asked.request.value,
+             record.arrivedRequest.model,
+             record.arrivedRequest.request.value,
              promptOf(record),
              false,
              limit };
@@ -40,27 +41,27 @@
     const auto found = state.upstreams.find(engine);
     if (found == state.upstreams.end())
         return;
-    const HostId coordinator = askedHolder(state, found->second, now);
-    PromptAsk returned = admissionRequestFor(record, found->second, now);
-    returned.isGivenBack = true;
+    const HostId coordinator = coordinatorOf(state, found->second, now);
+    AdmissionRequest returned = admissionRequestFor(record, found->second, now);
+    returned.isReturned = true;
     if (coordinator == state.self.id) {
-        giveBackTurn(state, state.engines[engine], found->second, returned);
+        releaseAdmission(state, state.engines[engine], found->second, returned);
         return;
     }
-    Gossip message = blankGossip(state, now);
-    message.promptAsks.push_back(std::move(returned));
-    sendTo(state, coordinator, MessageKind::PromptAsk, std::move(message), actions);
+    Gossip message = messageHeader(state, now);
+    message.admissionRequests.push_back(std::move(returned));
+    sendTo(state, coordinator, MessageKind::AdmissionRequest, std::move(message), actions);
 }
 
 /// Keeps the earlier one of two admissions and cancels the other.
 void keepEarlierAdmission(GatewayState &state, RequestRecord &record, Instant now, Actions &actions)
 {
     const EngineAdmission first = *std::exchange(record.firstAdmission, std::nullopt);
-    const bool isSooner = record.turnAt + minAdmissionGain < first.at;
+    const bool isSooner = record.admissionAt + minAdmissionGain < first.at;
     const UpstreamId unused = isSooner ? first.engine : record.admissionEngine;
     if (!isSooner) {
         record.admissionEngine = first.engine;
-        record.turnAt = first.at;
+        record.admissionAt = first.at;
         record.isPermit = first.isPermit;
     }
     cancelAdmission(state, record, unused, now, actions);
@@ -75,20 +76,21 @@
     const Upstream *other = chooseUpstream(state.upstreams, need, state.versions, draw(state), now);
     if (!other || now < other->avoidedUntil)
         return;
-    record.firstAdmission = EngineAdmission{ record.admissionEngine, record.turnAt,
+    record.firstAdmission = EngineAdmission{ record.admissionEngine, record.admissionAt,
                                              record.isPermit };
     requestAdmission(state, record, *other, now, actions);
 }
 
 } // namespace
 
-PromptTurn takeTurnAt(const GatewayState &state, OrderedEngine &engine, const Upstream &upstream,
-                      const PromptAsk &request, Instant now)
+PromptAdmission admitPromptAt(const GatewayState &state, OrderedEngine &engine,
+                              const Upstream &upstream, const AdmissionRequest &request,
+                              Instant now)
 {
-    PromptTurn turn;
+    PromptAdmission turn;
     if (!isSmallFleet(state) && !request.adapter.isBase()) {
-        turn = takeTurn(engine.pacer, request.adapter, request.tokens,
-                        prefillRateOf(state, upstream.listed.service), now);
+        turn = admitPrompt(engine.pacer, request.adapter, request.tokens,
+                           prefillRateOf(state, upstream.listed.service), now);
     }
     const double limit = isInForce(upstream.limit, now) ? upstream.limit.perSecond : request.limit;
     if (limit > 0) {
@@ -98,11 +100,11 @@
     return turn;
 }
 
-void giveBackTurn(const GatewayState &state, OrderedEngine &engine, const Upstream &upstream,
-                  const PromptAsk &request)
+void releaseAdmission(const GatewayState &state, OrderedEngine &engine, const Upstream &upstream,
+                      const AdmissionRequest &request)
 {
     if (!isSmallFleet(state) && !request.adapter.isBase())
-        giveBackTurn(engine.pacer, request.tokens);
+        releaseAdmission(engine.pacer, request.tokens);
     const double limit = upstream.limit.perSecond > 0 ? upstream.limit.perSecond : request.limit;
     if (limit > 0)
         returnPermit(engine.permits, limit);
@@ -120,19 +122,19 @@
             && (!record.isPermit || record.admissionEngine != upstream.listed.id);
 }
 
-bool isTooLate(const RequestRecord &record)
+bool isPermitTooLate(const RequestRecord &record)
 {
-    return record.isPermit && record.turn == PromptTurnState::Answered
-            && record.turnAt > record.placementDeadline;
+    return record.isPermit && record.admissionState == PromptAdmissionState::Answered
+            && record.admissionAt > record.placementDeadline;
 }
 
 void excludeUpstream(GatewayState &state, RequestRecord &record, const UpstreamId &limited,
                      Instant now, Actions &actions)
 {
-    if (record.turn == PromptTurnState::Answered)
+    if (record.admissionState == PromptAdmissionState::Answered)
         cancelAdmission(state, record, record.admissionEngine, now, actions);
     record.excluded.insert(limited);
-    record.turn = PromptTurnState::NotRequested;
+    record.admissionState = PromptAdmissionState::NotRequested;
     record.isPermit = false;
 }
 
@@ -140,27 +142,27 @@
                       Instant now, Actions &actions)
 {
     record.admissionEngine = engine.listed.id;
-    record.turn = PromptTurnState::Asked;
-    record.turnAt = now + admissionTimeout;
+    record.admissionState = PromptAdmissionState::AwaitingAnswer;
+    record.admissionAt = now + admissionTimeout;
     record.isPermit = false;
-    const HostId coordinator = askedHolder(state, engine, now);
-    PromptAsk request = admissionRequestFor(record, engine, now);
+    const HostId coordinator = coordinatorOf(state, engine, now);
+    AdmissionRequest request = admissionRequestFor(record, engine, now);
     if (coordinator == state.self.id) {
-        const PromptTurn turn = takeTurnAt(state, state.engines[engine.listed.id], engine, request,
-                                           now);
-        noteTurn(state, record, turn, now, actions);
+        const PromptAdmission turn = admitPromptAt(state, state.engines[engine.listed.id], engine,
+                                                   request, now);
+        handleAdmission(state, record, turn, now, actions);
         return;
     }
-    Gossip message = blankGossip(state, now);
-    message.promptAsks.push_back(std::move(request));
-    sendTo(state, coordinator, MessageKind::PromptAsk, std::move(message), actions);
+    Gossip message = messageHeader(state, now);
+    message.admissionRequests.push_back(std::move(request));
+    sendTo(state, coordinator, MessageKind::AdmissionRequest, std::move(message), actions);
 }
 
-void noteTurn(GatewayState &state, RequestRecord &record, const PromptTurn &turn, Instant now,
-              Actions &actions)
+void handleAdmission(GatewayState &state, RequestRecord &record, const PromptAdmission &turn,
+                     Instant now, Actions &actions)
 {
-    record.turn = PromptTurnState::Answered;
-    record.turnAt = now + turn.wait;
+    record.admissionState = PromptAdmissionState::Answered;
+    record.admissionAt = now + turn.wait;
     record.isPermit = turn.isPermit;
     if (turn.isCopyWanted)
         loadCopy(state, needOf(state, record), now, actions);
@@ -172,16 +174,16 @@
 
 bool isAdmitted(RequestRecord &record, Instant now)
 {
-    if (now < record.turnAt)
+    if (now < record.admissionAt)
         return false;
-    if (record.turn == PromptTurnState::Asked && record.firstAdmission) {
-        record.turn = PromptTurnState::Answered;
+    if (record.admissionState == PromptAdmissionState::AwaitingAnswer && record.firstAdmission) {
+        record.admissionState = PromptAdmissionState::Answered;
         record.admissionEngine = record.firstAdmission->engine;
-        record.turnAt = record.firstAdmission->at;
+        record.admissionAt = record.firstAdmission->at;
         record.isPermit = record.firstAdmission->isPermit;
         record.firstAdmission.reset();
     }
-    return now >= record.turnAt;
+    return now >= record.admissionAt;
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/prompt_pacing.cpp
+++ b/packages/gateway/src/prompt_pacing.cpp
@@ -23,8 +23,8 @@
 
 } // namespace
 
-PromptTurn takeTurn(PromptPacer &pacer, const ModelName &adapter, double tokens,
-                    double prefillTokensPerSecond, Instant now)
+PromptAdmission admitPrompt(PromptPacer &pacer, const ModelName &adapter, double tokens,
+                            double prefillTokensPerSecond, Instant now)
 {
     const double drainRate = prefillTokensPerSecond * prefillShareBesideBatch;
     const double tokensRead = drainRate * toSeconds(now - pacer.at);
@@ -34,25 +34,26 @@
                                              maxBacklogSeconds * prefillTokensPerSecond - tokens);
     const double excess = std::max(0.0, pacer.backlog - maxBacklogBefore);
     pacer.backlog += tokens;
-    add(pacer.demand[adapter], tokens, demandLife, now);
+    add(pacer.demand[adapter], tokens, demandDecayTime, now);
 
-    PromptTurn turn;
+    PromptAdmission turn;
     turn.wait = std::min<Span>(maxAdmissionWait, fromSeconds(excess / drainRate));
-    const double perSecond = pacer.demand[adapter].value / toSeconds(demandLife);
+    const double perSecond = pacer.demand[adapter].value / toSeconds(demandDecayTime);
     turn.isCopyWanted = turn.wait >= copyWaitThreshold
             && perSecond > shareOfOneCopy * prefillTokensPerSecond;
     return turn;
 }
 
-void giveBackTurn(PromptPacer &pacer, double tokens)
+void releaseAdmission(PromptPacer &pacer, double tokens)
 {
     pacer.backlog = std::max(0.0, pacer.backlog - tokens);
 }
 
 void tidy(PromptPacer &pacer, Instant now)
 {
-    std::erase_if(pacer.demand,
-                  [now](const auto &entry) { return valueAt(entry.second, demandLife, now) < 1; });
+    std::erase_if(pacer.demand, [now](const auto &entry) {
+        return valueAt(entry.second, demandDecayTime, now) < 1;
+    });
 }
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/published.cpp
+++ b/packages/gateway/src/published.cpp
@@ -49,9 +49,9 @@
     return revision == 0 || (revision >= state.completeSince && !isInGap);
 }
 
-std::vector<PublishedItem> takeListing(PublishedState &state,
-                                       const std::vector<PublishedItem> &items,
-                                       std::uint64_t revision)
+std::vector<PublishedItem> applyListing(PublishedState &state,
+                                        const std::vector<PublishedItem> &items,
+                                        std::uint64_t revision)
 {
     std::vector<PublishedItem> changed;
     std::map<std::string, bool> isListed;
@@ -71,8 +71,8 @@
     return changed;
 }
 
-std::vector<PublishedItem> takeChanges(PublishedState &state, const PublishedChanges &changes,
-                                       std::uint64_t senderRevision)
+std::vector<PublishedItem> applyChanges(PublishedState &state, const PublishedChanges &changes,
+                                        std::uint64_t senderRevision)
 {
     if (changes.after > state.revision)
         return {};
@@ -87,8 +87,8 @@
     return changed;
 }
 
-void keepNews(std::vector<PublishedItem> &items,
-              const std::function<bool(const PublishedItem &)> &hasChanged)
+void removeUnchanged(std::vector<PublishedItem> &items,
+                     const std::function<bool(const PublishedItem &)> &hasChanged)
 {
     std::set<std::string> changed;
     std::erase_if(items, [&](const PublishedItem &item) {
--- a/packages/gateway/src/relaying.cpp
+++ b/packages/gateway/src/relaying.cpp
@@ -7,15 +7,16 @@
 namespace {
 
 /// Returns the part of \a update that the origin has not sent to the hosts of its zone itself.
-RelayedNews forOwnZone(const RelayedNews &update)
+RelayedUpdate forOwnZone(const RelayedUpdate &update)
 {
     return { update.origin, update.incarnation, update.uses, {}, update.crashes, update.limits };
 }
 
-std::shared_ptr<const Gossip> messageOf(const GatewayState &state, std::vector<RelayedNews> updates,
-                                        RelayScope scope, Instant now)
+std::shared_ptr<const Gossip> messageOf(const GatewayState &state,
+                                        std::vector<RelayedUpdate> updates, RelayScope scope,
+                                        Instant now)
 {
-    Gossip message = blankGossip(state, now);
+    Gossip message = messageHeader(state, now);
     message.relayed = std::move(updates);
     message.relayTo = scope;
     return std::make_shared<const Gossip>(std::move(message));
@@ -25,17 +26,17 @@
 /// that this relay is alive.
 void sendToZone(GatewayState &state, Instant now, Actions &actions)
 {
-    std::vector<std::vector<RelayedNews>> parts = splitUpdates(state.relay.toZone);
+    std::vector<std::vector<RelayedUpdate>> parts = splitUpdates(state.relay.toZone);
     state.relay.toZone.clear();
     if (parts.empty() && state.relay.isReplyDue)
         parts.emplace_back();
     state.relay.isReplyDue = false;
-    for (std::vector<RelayedNews> &part : parts) {
+    for (std::vector<RelayedUpdate> &part : parts) {
         const std::shared_ptr<const Gossip> message = messageOf(state, std::move(part),
                                                                 RelayScope::None, now);
         for (const auto &[id, member] : state.members.others) {
             if (member.zone == state.self.zone && isAlive(state.members, id, now)) {
-                send(state, member.address, member.zone, MessageKind::RelayedNews, message,
+                send(state, member.address, member.zone, MessageKind::RelayedUpdate, message,
                      actions);
             }
         }
@@ -55,22 +56,22 @@
 /// Sends the collected updates to one host of each other zone, which relays them there.
 void sendToOtherZones(GatewayState &state, Instant now, Actions &actions)
 {
-    const std::vector<std::vector<RelayedNews>> parts = splitUpdates(state.relay.toOtherZones);
+    const std::vector<std::vector<RelayedUpdate>> parts = splitUpdates(state.relay.toOtherZones);
     state.relay.toOtherZones.clear();
     if (parts.empty())
         return;
     const std::set<ZoneId> zones = otherZones(state);
-    for (const std::vector<RelayedNews> &part : parts) {
+    for (const std::vector<RelayedUpdate> &part : parts) {
         const std::shared_ptr<const Gossip> message = messageOf(state, part, RelayScope::Zone, now);
         for (const ZoneId &zone : zones) {
-            const Member *relay = askRelay(state.members, zone, now);
+            const Member *relay = selectRelay(state.members, zone, now);
             if (relay)
                 send(state, relay->address, zone, MessageKind::RelayRequest, message, actions);
         }
     }
 }
 
-void collect(GatewayState &state, const RelayedNews &update, RelayScope scope)
+void collect(GatewayState &state, const RelayedUpdate &update, RelayScope scope)
 {
     if (scope == RelayScope::Zone)
         mergeUpdate(state.relay.toZone, update);
@@ -81,24 +82,24 @@
         mergeUpdate(state.relay.toZone, forOwnZone(update));
 }
 
-void handleUpdate(GatewayState &state, const RelayedNews &update, Instant now, Actions &actions)
+void handleUpdate(GatewayState &state, const RelayedUpdate &update, Instant now, Actions &actions)
 {
     if (update.origin == state.self.id)
         return;
-    takeUses(state, update.origin, update.incarnation, update.uses, now);
-    for (const EngineNews &engine : update.engines)
-        takeNews(state, update.origin, engine, now);
-    takeSuspicions(state, update.crashes, now, actions);
-    takeLimits(state, update.limits, actions);
+    handleUses(state, update.origin, update.incarnation, update.uses, now);
+    for (const EngineUpdate &engine : update.engines)
+        handleEngineUpdate(state, update.origin, engine, now);
+    handleSuspicions(state, update.crashes, now, actions);
+    handleLimits(state, update.limits, actions);
 }
 
 } // namespace
 
-void tellFleet(GatewayState &state, RelayedNews update, Instant now, Actions &actions)
+void sendToFleet(GatewayState &state, RelayedUpdate update, Instant now, Actions &actions)
 {
     update.origin = state.self.id;
     update.incarnation = state.self.incarnation;
-    const Member *relay = askRelay(state.members, state.self.zone, now);
+    const Member *relay = selectRelay(state.members, state.self.zone, now);
     if (!relay) {
         collect(state, update, RelayScope::Fleet);
         return;
@@ -107,14 +108,14 @@
          messageOf(state, { std::move(update) }, RelayScope::Fleet, now), actions);
 }
 
-void tellAll(GatewayState &state, MessageKind kind, RelayedNews update, Instant now,
-             Actions &actions)
+void sendToAll(GatewayState &state, MessageKind kind, RelayedUpdate update, Instant now,
+               Actions &actions)
 {
     if (!isSmallFleet(state)) {
-        tellFleet(state, std::move(update), now, actions);
+        sendToFleet(state, std::move(update), now, actions);
         return;
     }
-    Gossip message = blankGossip(state, now);
+    Gossip message = messageHeader(state, now);
     message.crashes = std::move(update.crashes);
     message.limits = std::move(update.limits);
     const std::shared_ptr<const Gossip> shared = std::make_shared<const Gossip>(std::move(message));
@@ -122,9 +123,9 @@
         send(state, member.address, member.zone, kind, shared, actions);
 }
 
-void takeRelayed(GatewayState &state, const Gossip &message, Instant now, Actions &actions)
+void handleRelayed(GatewayState &state, const Gossip &message, Instant now, Actions &actions)
 {
-    for (const RelayedNews &update : message.relayed) {
+    for (const RelayedUpdate &update : message.relayed) {
         handleUpdate(state, update, now, actions);
         collect(state, update, message.relayTo);
     }
@@ -134,7 +135,7 @@
         state.relay.isReplyDue = true;
         return;
     }
-    send(state, message.address, message.zone, MessageKind::RelayAnswer, blankGossip(state, now),
+    send(state, message.address, message.zone, MessageKind::RelayAnswer, messageHeader(state, now),
          actions);
 }
 
--- a/packages/gateway/src/requests.cpp
+++ b/packages/gateway/src/requests.cpp
@@ -35,9 +35,10 @@
 void refuse(GatewayState &state, const RequestRecord &record, ResultCode code, Span retryAfter,
             Actions &actions)
 {
-    const bool isNotRun = record.mayHaveRun == 0;
+    const bool isNotRun = record.possibleRuns == 0;
     ++state.counters.refusals[code];
-    actions.refusals.push_back({ record.asked.request, code, isNotRun, retryAfter, record.digest });
+    actions.refusals.push_back(
+            { record.arrivedRequest.request, code, isNotRun, retryAfter, record.digest });
 }
 
 void eraseRequest(GatewayState &state, RequestNumber request)
@@ -63,7 +64,7 @@
         return true;
     const bool isRepeatable = record.repeat == RepeatPolicy::Idempotent
             || (record.repeat == RepeatPolicy::Stream && record.isResumable);
-    return isRepeatable && !record.hasAnswerBegun && record.mayHaveRun < record.mostAttempts;
+    return isRepeatable && !record.hasAnswerStarted && record.possibleRuns < record.maxAttempts;
 }
 
 HealthSignal healthSignalOf(AttemptOutcome outcome)
@@ -118,26 +119,27 @@
     if (found == state.upstreams.end())
         return;
     EngineState &engine = found->second.engine;
-    if (engine.models.empty() || record.asked.model.model.empty()) {
+    if (engine.models.empty() || record.arrivedRequest.model.model.empty()) {
         found->second.avoidedUntil = now + replacedUpstreamAvoidance;
         return;
     }
-    if (record.asked.model.isBase()) {
-        std::erase(engine.models, record.asked.model.model);
+    if (record.arrivedRequest.model.isBase()) {
+        std::erase(engine.models, record.arrivedRequest.model.model);
         return;
     }
-    std::erase_if(engine.ready,
-                  [&](const LoadedAdapter &adapter) { return adapter.name == record.asked.model; });
+    std::erase_if(engine.ready, [&](const LoadedAdapter &adapter) {
+        return adapter.name == record.arrivedRequest.model;
+    });
 }
 
 /// Sends an idempotent request to another upstream after a stated fault. If that is not possible,
 /// the caller gets the stated fault.
 bool repeatAfterFault(GatewayState &state, RequestRecord &record, Instant now, Actions &actions)
 {
-    ++record.mayHaveRun;
+    ++record.possibleRuns;
     if (isQuarantined(state.quarantine, record.digest))
         return false;
-    if (record.repeat != RepeatPolicy::Idempotent || record.mayHaveRun >= record.mostAttempts
+    if (record.repeat != RepeatPolicy::Idempotent || record.possibleRuns >= record.maxAttempts
         || now >= record.deadline)
         return false;
     record.excluded.insert(record.upstream);
@@ -173,7 +175,7 @@
 {
     RetryBudget &budget = state.retryBudgets[service];
     const double hosts = static_cast<double>(countKnown(state.members) + 1);
-    budget.mostSaved = std::max(fleetRetryBurst / hosts, 1.0);
+    budget.maxSaved = std::max(fleetRetryBurst / hosts, 1.0);
     budget.earned = retriesPerRequest;
     return budget;
 }
@@ -187,8 +189,8 @@
     if (found == state.upstreams.end())
         return;
     Upstream &upstream = found->second;
-    upstream.underWay -= std::min(upstream.underWay, 1U);
-    endUse(state.ownUses, { record.upstream, record.asked.model });
+    upstream.requestsInFlight -= std::min(upstream.requestsInFlight, 1U);
+    endUse(state.ownUses, { record.upstream, record.arrivedRequest.model });
 }
 
 void refuseAndForget(GatewayState &state, RequestRecord &record, ResultCode code, Span retryAfter,
@@ -196,18 +198,18 @@
 {
     detachFromUpstream(state, record);
     refuse(state, record, code, retryAfter, actions);
-    eraseRequest(state, record.asked.request);
+    eraseRequest(state, record.arrivedRequest.request);
 }
 
 void handle(GatewayState &state, const RequestArrived &event, Instant now, Actions &actions)
 {
     ++state.counters.requests;
     RequestRecord &record = state.requests[event.request];
-    record.asked = event;
+    record.arrivedRequest = event;
     record.arrivedAt = now;
     const Configuration &configuration = state.configuration;
     if (configuration.version == 0) {
-        refuseAndForget(state, record, ResultCode::HostStarting, soon, actions);
+        refuseAndForget(state, record, ResultCode::HostStarting, shortRetryAfter, actions);
         return;
     }
     const Route *route = findRoute(configuration, event.host, event.path);
@@ -223,15 +225,15 @@
     }
     const ServiceId *service = pickService(*route, draw(state));
     if (!service) {
-        refuseAndForget(state, record, ResultCode::NoUpstream, soon, actions);
+        refuseAndForget(state, record, ResultCode::NoUpstream, shortRetryAfter, actions);
         return;
     }
     record.service = *service;
     record.digest = digestOf(customer ? customer->id : CustomerId{}, event.content);
     record.repeat = route->repeat;
     record.isResumable = route->isResumable;
-    record.mostAttempts = std::max(route->mostAttempts, 1U);
-    if (isKeptBack(state, record)) {
+    record.maxAttempts = std::max(route->maxAttempts, 1U);
+    if (isDispatchBlocked(state, record)) {
         refuseQuarantined(state, record, now, actions);
         return;
     }
@@ -245,7 +247,7 @@
         refuseAndForget(state, record, ResultCode::HostDraining, drainingRetryAfter, actions);
         return;
     }
-    countFirstTry(retryBudgetOf(state, record.service));
+    countFirstAttempt(retryBudgetOf(state, record.service));
     if (customer) {
         record.customer = customer->id;
         const MeterStart start = meterStart(state, now);
@@ -253,20 +255,20 @@
                                                costOf(*customer, event.totalTokens),
                                                currentLimits(state), start, state.members, now);
         if (wait) {
-            refuseAndForget(state, record, ResultCode::RateExceeded, std::max(*wait, soon),
-                            actions);
+            refuseAndForget(state, record, ResultCode::RateExceeded,
+                            std::max(*wait, shortRetryAfter), actions);
             return;
         }
     }
     place(state, record, now, actions);
 }
 
-void handle(GatewayState &state, const CallerLeft &event, Instant, Actions &actions)
+void handle(GatewayState &state, const CallerDisconnected &event, Instant, Actions &actions)
 {
     const auto found = state.requests.find(event.request);
     if (found == state.requests.end())
         return;
-    ++state.counters.callersLeft;
+    ++state.counters.callersDisconnected;
     if (found->second.phase == RequestPhase::AtUpstream)
         actions.cancels.push_back({ event.request });
     detachFromUpstream(state, found->second);
@@ -279,13 +281,14 @@
     if (found == state.requests.end() || found->second.attempt != event.attempt)
         return;
     RequestRecord &record = found->second;
-    record.hasAnswerBegun = true;
+    record.hasAnswerStarted = true;
     const auto upstream = state.upstreams.find(record.upstream);
     if (upstream != state.upstreams.end())
-        noteAnswered(state.quarantine, lifeOf(upstream->second), record.sentAt);
-    if (record.isEngineIdle && !record.asked.model.model.empty()) {
+        noteAnswered(state.quarantine, incarnationOf(upstream->second), record.sentAt);
+    if (record.isEngineIdle && !record.arrivedRequest.model.model.empty()) {
         recordPrefill(state.prefillRates[record.service],
-                      static_cast<double>(record.asked.promptTokens.count), now - record.sentAt);
+                      static_cast<double>(record.arrivedRequest.promptTokens.count),
+                      now - record.sentAt);
     }
 }
 
@@ -300,9 +303,9 @@
     if (upstream != state.upstreams.end())
         recordHealth(upstream->second, healthSignalOf(event.outcome), now);
     if (event.isCutOff && event.outcome == AttemptOutcome::Failed)
-        noteCutOff(state, record, now, actions);
+        noteConnectionLost(state, record, now, actions);
     else if (upstream != state.upstreams.end() && hasAnswered(event.outcome))
-        noteAnswered(state.quarantine, lifeOf(upstream->second), record.sentAt);
+        noteAnswered(state.quarantine, incarnationOf(upstream->second), record.sentAt);
     if (event.outcome == AttemptOutcome::Done)
         clearSuspicions(state.quarantine, record.digest);
     if (record.isEarlyAttempt)
@@ -312,7 +315,7 @@
         return;
     }
     if (std::exchange(record.isEarlyAttempt, false))
-        giveBackRetry(retryBudgetOf(state, record.service));
+        returnRetry(retryBudgetOf(state, record.service));
     if (event.outcome == AttemptOutcome::FaultStated
         && repeatAfterFault(state, record, now, actions))
         return;
@@ -321,22 +324,23 @@
         eraseRequest(state, event.request);
         return;
     }
-    record.hasAnswerBegun = record.hasAnswerBegun || event.hasAnswerBegun;
+    record.hasAnswerStarted = record.hasAnswerStarted || event.hasAnswerStarted;
     record.excluded.insert(record.upstream);
     if (event.outcome == AttemptOutcome::Failed)
-        ++record.mayHaveRun;
+        ++record.possibleRuns;
     if (event.outcome == AttemptOutcome::NotThere)
         handleNotThere(state, record, now);
     const ResultCode cause = codeOf(event.outcome);
     // An attempt that reached no upstream adds no load, so it costs no retry.
     const bool isFree = event.outcome == AttemptOutcome::NotSent;
     if (!mayRepeat(record, event.outcome) || now >= record.deadline) {
-        refuseAndForget(state, record, cause, soon, actions);
+        refuseAndForget(state, record, cause, shortRetryAfter, actions);
         return;
     }
     if (!isFree && !takeRetry(retryBudgetOf(state, record.service))) {
-        refuseAndForget(state, record, record.mayHaveRun > 0 ? cause : ResultCode::RetryBudgetSpent,
-                        soon, actions);
+        refuseAndForget(state, record,
+                        record.possibleRuns > 0 ? cause : ResultCode::RetryBudgetSpent,
+                        shortRetryAfter, actions);
         return;
     }
     ++state.counters.retries[cause];
@@ -357,16 +361,16 @@
     while (const std::optional<RequestNumber> request = state.requestDeadlines.takeDue(now)) {
         RequestRecord &record = state.requests.at(*request);
         if (record.phase == RequestPhase::AtUpstream) {
-            ++record.mayHaveRun;
+            ++record.possibleRuns;
             actions.cancels.push_back({ *request });
             const auto upstream = state.upstreams.find(record.upstream);
-            if (upstream != state.upstreams.end() && !record.hasAnswerBegun)
+            if (upstream != state.upstreams.end() && !record.hasAnswerStarted)
                 recordHealth(upstream->second, HealthSignal::Failed, now);
         }
         refuseAndForget(state, record,
-                        record.mayHaveRun > 0 ? ResultCode::UpstreamSilent
-                                              : ResultCode::DeadlineUnreachable,
-                        soon, actions);
+                        record.possibleRuns > 0 ? ResultCode::UpstreamSilent
+                                                : ResultCode::DeadlineUnreachable,
+                        shortRetryAfter, actions);
     }
 }
 
--- a/packages/gateway/src/sending.cpp
+++ b/packages/gateway/src/sending.cpp
@@ -21,7 +21,7 @@
     send(state, member.address, member.zone, kind, std::move(message), actions);
 }
 
-Gossip blankGossip(const GatewayState &state, Instant now)
+Gossip messageHeader(const GatewayState &state, Instant now)
 {
     Gossip message;
     message.from = state.self.id;
--- a/packages/gateway/src/news.cpp
+++ b/packages/gateway/src/updates.cpp
@@ -18,7 +18,7 @@
     }
 }
 
-EngineNews updateOf(const Upstream &upstream)
+EngineUpdate updateOf(const Upstream &upstream)
 {
     return { upstream.listed.id, upstream.engine };
 }
@@ -29,11 +29,11 @@
 {
     constexpr double minTokens = 200;
     std::vector<PromptWork> work;
-    std::erase_if(state.sentTo, [&](const UpstreamId &id) {
+    std::erase_if(state.recentUpstreams, [&](const UpstreamId &id) {
         const auto upstream = state.upstreams.find(id);
         const double tokens = upstream == state.upstreams.end()
                 ? 0
-                : valueAt(upstream->second.ownPrompts, promptLife, now);
+                : valueAt(upstream->second.ownPrompts, promptDecayTime, now);
         if (tokens >= minTokens)
             work.push_back({ id, tokens });
         return tokens < minTokens;
@@ -43,9 +43,9 @@
 
 /// Returns the states of the engines that this host coordinates. If \a isChangedOnly, only those of
 /// changed engines are returned.
-std::vector<EngineNews> ownEngineUpdates(GatewayState &state, bool isChangedOnly, Instant now)
+std::vector<EngineUpdate> ownEngineUpdates(GatewayState &state, bool isChangedOnly, Instant now)
 {
-    std::vector<EngineNews> updates;
+    std::vector<EngineUpdate> updates;
     for (const UpstreamId &id : state.ownEngines) {
         const auto upstream = state.upstreams.find(id);
         if (upstream == state.upstreams.end() || !upstream->second.engine.isSeen())
@@ -60,7 +60,9 @@
 std::vector<PromptWork> newPromptWorkOf(GatewayState &state, Instant now)
 {
     std::vector<PromptWork> work = promptWorkOf(state, now);
-    std::erase_if(work, [&](const PromptWork &one) { return !state.newWork.contains(one.engine); });
+    std::erase_if(work, [&](const PromptWork &one) {
+        return !state.enginesWithNewPrompts.contains(one.engine);
+    });
     return work;
 }
 
@@ -86,7 +88,7 @@
 {
     std::vector<CustomerUse> uses = urgentUses(state, now);
     std::erase_if(uses, [&](const CustomerUse &use) {
-        return std::exchange(state.toldUses[use.customer], use.admitted) == use.admitted;
+        return std::exchange(state.sentUses[use.customer], use.admitted) == use.admitted;
     });
     return uses;
 }
@@ -94,48 +96,48 @@
 /// Sends new updates to all hosts directly, as small fleets do.
 void sendUpdatesDirectly(GatewayState &state, Instant now, Actions &actions)
 {
-    Gossip message = blankGossip(state, now);
+    Gossip message = messageHeader(state, now);
     message.engines = ownEngineUpdates(state, true, now);
-    if (!state.newWork.empty()) {
+    if (!state.enginesWithNewPrompts.empty()) {
         message.promptWork = newPromptWorkOf(state, now);
         message.uses = urgentUses(state, now);
-        state.newWork.clear();
+        state.enginesWithNewPrompts.clear();
     }
     if (message.engines.empty() && message.promptWork.empty() && message.uses.empty())
         return;
     const MessageKind kind = message.engines.empty() ? MessageKind::CustomerUses
-                                                     : MessageKind::EngineNews;
+                                                     : MessageKind::EngineUpdate;
     const std::shared_ptr<const Gossip> shared = std::make_shared<const Gossip>(std::move(message));
     for (const auto &[id, member] : state.members.others) {
-        if (now < member.nextHeartbeatAt && isHeard(state.members, member, now))
+        if (now < member.nextHeartbeatAt && isMemberReachable(state.members, member, now))
             send(state, member.address, member.zone, kind, shared, actions);
     }
 }
 
 /// Whether \a host, which is in another zone, waits for a load at one of the engines of \a updates.
-bool isLoadAwaitedBy(const GatewayState &state, const std::vector<EngineNews> &updates,
+bool isLoadAwaitedBy(const GatewayState &state, const std::vector<EngineUpdate> &updates,
                      const HostId &host, Instant now)
 {
-    return std::any_of(updates.begin(), updates.end(), [&](const EngineNews &one) {
-        const auto &awaitedBy = state.engines.at(one.engine).awaitedBy;
-        const auto found = awaitedBy.find(host);
-        return found != awaitedBy.end() && now < found->second;
+    return std::any_of(updates.begin(), updates.end(), [&](const EngineUpdate &one) {
+        const auto &requestingHosts = state.engines.at(one.engine).requestingHosts;
+        const auto found = requestingHosts.find(host);
+        return found != requestingHosts.end() && now < found->second;
     });
 }
 
 /// Sends changes at engines to the hosts of this zone and to those of other zones that wait for
 /// them.
-void sendEngineUpdates(GatewayState &state, const std::vector<EngineNews> &updates, Instant now,
+void sendEngineUpdates(GatewayState &state, const std::vector<EngineUpdate> &updates, Instant now,
                        Actions &actions)
 {
-    Gossip message = blankGossip(state, now);
+    Gossip message = messageHeader(state, now);
     message.engines = updates;
     const std::shared_ptr<const Gossip> shared = std::make_shared<const Gossip>(std::move(message));
     for (const auto &[id, member] : state.members.others) {
         const bool isInZone = member.zone == state.self.zone;
-        if (isHeard(state.members, member, now)
+        if (isMemberReachable(state.members, member, now)
             && (isInZone || isLoadAwaitedBy(state, updates, id, now)))
-            send(state, member.address, member.zone, MessageKind::EngineNews, shared, actions);
+            send(state, member.address, member.zone, MessageKind::EngineUpdate, shared, actions);
     }
 }
 
@@ -143,43 +145,43 @@
 /// other zones.
 void sendUpdatesByRelay(GatewayState &state, Instant now, Actions &actions)
 {
-    RelayedNews update;
+    RelayedUpdate update;
     update.engines = ownEngineUpdates(state, true, now);
     if (!update.engines.empty())
         sendEngineUpdates(state, update.engines, now, actions);
-    if (!state.newWork.empty() && now >= state.nextUsesAt) {
+    if (!state.enginesWithNewPrompts.empty() && now >= state.nextUsesAt) {
         update.uses = newUrgentUses(state, now);
         state.nextUsesAt = now + usesUpdateInterval;
-        state.newWork.clear();
+        state.enginesWithNewPrompts.clear();
     }
-    if (now >= state.nextOwnNewsAt) {
+    if (now >= state.nextFullUpdateAt) {
         Gossip all;
         addUses(state, all);
         update.uses = std::move(all.uses);
         update.engines = ownEngineUpdates(state, false, now);
-        state.nextOwnNewsAt = now + state.members.plan.elsewhere;
+        state.nextFullUpdateAt = now + state.members.plan.inOtherZones;
     }
     if (!update.engines.empty() || !update.uses.empty())
-        tellFleet(state, std::move(update), now, actions);
+        sendToFleet(state, std::move(update), now, actions);
 }
 
 } // namespace
 
-void addRegularNews(GatewayState &state, Gossip &message, Instant now)
+void addPeriodicUpdates(GatewayState &state, Gossip &message, Instant now)
 {
     addUses(state, message);
     message.engines = ownEngineUpdates(state, false, now);
     message.promptWork = promptWorkOf(state, now);
 }
 
-void sendNews(GatewayState &state, Instant now, Actions &actions)
+void sendUpdates(GatewayState &state, Instant now, Actions &actions)
 {
     if (isSmallFleet(state))
         sendUpdatesDirectly(state, now, actions);
     else
         sendUpdatesByRelay(state, now, actions);
-    tellSuspicions(state, now, actions);
-    tellLimits(state, now, actions);
+    sendSuspicions(state, now, actions);
+    sendLimits(state, now, actions);
     state.changedEngines.clear();
 }
 
--- a/packages/gateway/src/upstreams.cpp
+++ b/packages/gateway/src/upstreams.cpp
@@ -23,9 +23,9 @@
     LoadInProgress &load = entry->second;
     if (isNew || hasOrderTime)
         load.since = hasOrderTime ? adapter.since : now;
-    load.isHeldLately = load.isHeldLately || adapter.isHeldLately;
+    load.isInHostMemory = load.isInHostMemory || adapter.isInHostMemory;
     adapter.since = load.since;
-    adapter.isHeldLately = load.isHeldLately;
+    adapter.isInHostMemory = load.isInHostMemory;
 }
 
 void showReady(EngineState &engine, const LoadedAdapter &adapter)
@@ -71,48 +71,48 @@
     sum.at = now;
 }
 
-bool saysTheSame(const ListedUpstream &a, const ListedUpstream &b)
+bool isSameListing(const ListedUpstream &a, const ListedUpstream &b)
 {
     return a.id == b.id && a.service == b.service && a.address == b.address && a.zone == b.zone
             && a.slots == b.slots && a.isLeaving == b.isLeaving && a.remaining == b.remaining
             && a.engine.start == b.engine.start;
 }
 
-void recordLastEngine(LastEngines &lastHolders, const ModelName &adapter, const UpstreamId &engine)
+void recordLastEngine(LastEngines &lastEngines, const ModelName &adapter, const UpstreamId &engine)
 {
-    const std::uint64_t serial = lastHolders.nextSerial++;
-    LastEngines::Entry &entry = lastHolders.entries[adapter];
-    lastHolders.adapters.erase(entry.serial);
+    const std::uint64_t serial = lastEngines.nextSerial++;
+    LastEngines::Entry &entry = lastEngines.entries[adapter];
+    lastEngines.adapters.erase(entry.serial);
     entry = { engine, serial };
-    lastHolders.adapters[serial] = adapter;
-    if (lastHolders.adapters.size() <= maxLastEngines)
+    lastEngines.adapters[serial] = adapter;
+    if (lastEngines.adapters.size() <= maxLastEngines)
         return;
-    const auto oldest = lastHolders.adapters.begin();
-    lastHolders.entries.erase(oldest->second);
-    lastHolders.adapters.erase(oldest);
+    const auto oldest = lastEngines.adapters.begin();
+    lastEngines.entries.erase(oldest->second);
+    lastEngines.adapters.erase(oldest);
 }
 
-const UpstreamId *findLastEngine(const LastEngines &lastHolders, const ModelName &adapter)
+const UpstreamId *findLastEngine(const LastEngines &lastEngines, const ModelName &adapter)
 {
-    const auto found = lastHolders.entries.find(adapter);
-    return found == lastHolders.entries.end() ? nullptr : &found->second.engine;
+    const auto found = lastEngines.entries.find(adapter);
+    return found == lastEngines.entries.end() ? nullptr : &found->second.engine;
 }
 
-void beginLoad(Upstream &upstream, const ModelName &adapter, bool isHeldLately, Instant now)
+void beginLoad(Upstream &upstream, const ModelName &adapter, bool isInHostMemory, Instant now)
 {
     upstream.loads.erase(adapter);
-    upstream.engine.loading.push_back({ adapter, now, isHeldLately });
+    upstream.engine.loading.push_back({ adapter, now, isInHostMemory });
     trackLoad(upstream, upstream.engine.loading.back(), now);
 }
 
-void setEngine(Upstream &upstream, EngineState state, LastEngines &lastHolders, Instant now)
+void setEngine(Upstream &upstream, EngineState state, LastEngines &lastEngines, Instant now)
 {
     const bool isRestarted = state.start != upstream.engine.start;
     if (isRestarted)
         upstream.loads.clear();
     for (const LoadedAdapter &adapter : upstream.engine.ready) {
         if (!isRestarted && !state.findReady(adapter.name))
-            recordLastEngine(lastHolders, adapter.name, upstream.listed.id);
+            recordLastEngine(lastEngines, adapter.name, upstream.listed.id);
     }
     upstream.engine = std::move(state);
     std::erase_if(upstream.loads,
@@ -136,7 +136,7 @@
 
 bool isUsable(const Upstream &upstream, Instant now)
 {
-    return now < upstream.usableUntil && now < upstream.killedAt;
+    return now < upstream.usableUntil && now < upstream.terminatedAt;
 }
 
 void recordHealth(Upstream &upstream, HealthSignal signal, Instant now)
--- a/packages/gateway/src/weight_store.cpp
+++ b/packages/gateway/src/weight_store.cpp
@@ -1,4 +1,4 @@
-#include "engine_places.h"
+#include "engine_slots.h"
 
 #include <algorithm>
 
@@ -41,7 +41,7 @@
     std::size_t loads = 0;
     for (const auto &[id, upstream] : state.upstreams) {
         for (const auto &[adapter, load] : upstream.loads) {
-            const bool isFetched = !load.isHeldLately && !load.isDone;
+            const bool isFetched = !load.isInHostMemory && !load.isDone;
             loads += isFetched && now - load.since < loadTimeOf(state, adapter.model) ? 1 : 0;
         }
     }
--- a/packages/gateway/src/zone_relay.cpp
+++ b/packages/gateway/src/zone_relay.cpp
@@ -21,11 +21,11 @@
 constexpr std::size_t crashBytes = 40;
 constexpr std::size_t limitBytes = 40;
 
-std::size_t sizeOf(const RelayedNews &update)
+std::size_t sizeOf(const RelayedUpdate &update)
 {
     std::size_t bytes = originBytes + update.uses.size() * useBytes
             + update.crashes.size() * crashBytes + update.limits.size() * limitBytes;
-    for (const EngineNews &engine : update.engines) {
+    for (const EngineUpdate &engine : update.engines) {
         bytes += engineBytes
                 + (engine.state.ready.size() + engine.state.loading.size()) * adapterBytes;
     }
@@ -59,9 +59,9 @@
 
 } // namespace
 
-void mergeUpdate(std::map<HostId, RelayedNews> &collected, const RelayedNews &update)
+void mergeUpdate(std::map<HostId, RelayedUpdate> &collected, const RelayedUpdate &update)
 {
-    RelayedNews &known = collected[update.origin];
+    RelayedUpdate &known = collected[update.origin];
     if (known.incarnation != update.incarnation)
         known = { update.origin, update.incarnation, {}, {}, {}, {} };
     for (const CustomerUse &use : update.uses) {
@@ -69,9 +69,9 @@
                       [&](const CustomerUse &one) { return one.customer == use.customer; });
         known.uses.push_back(use);
     }
-    for (const EngineNews &engine : update.engines) {
+    for (const EngineUpdate &engine : update.engines) {
         std::erase_if(known.engines,
-                      [&](const EngineNews &one) { return one.engine == engine.engine; });
+                      [&](const EngineUpdate &one) { return one.engine == engine.engine; });
         known.engines.push_back(engine);
     }
     for (const UpstreamLimit &limit : update.limits) {
@@ -82,9 +82,10 @@
     known.crashes.insert(known.crashes.end(), update.crashes.begin(), update.crashes.end());
 }
 
-std::vector<std::vector<RelayedNews>> splitUpdates(const std::map<HostId, RelayedNews> &collected)
+std::vector<std::vector<RelayedUpdate>> splitUpdates(
+        const std::map<HostId, RelayedUpdate> &collected)
 {
-    std::vector<std::vector<RelayedNews>> parts;
+    std::vector<std::vector<RelayedUpdate>> parts;
     std::size_t bytes = 0;
     for (const auto &[origin, update] : collected) {
         const std::size_t size = sizeOf(update);
@@ -98,7 +99,7 @@
     return parts;
 }
 
-const Member *askRelay(Members &members, const ZoneId &zone, Instant now)
+const Member *selectRelay(Members &members, const ZoneId &zone, Instant now)
 {
     std::vector<Member *> candidates;
     for (auto &[id, member] : members.others) {
--- a/packages/gateway/tests/choose_upstream_test.cpp
+++ b/packages/gateway/tests/choose_upstream_test.cpp
@@ -17,7 +17,7 @@
             engine.listed.zone.value = index % 2 == 0 ? "near" : "far";
             engine.listed.slots = 64;
             engine.usableUntil = never;
-            engine.killedAt = never;
+            engine.terminatedAt = never;
             engine.engine.models = { "m" };
             this->upstreams[engine.listed.id] = engine;
         }
@@ -30,12 +30,12 @@
         need.zone.value = zone;
         need.prefillTokensPerSecond = 22'000;
         constexpr std::uint32_t places = 5;
-        return *chooseEngineToLoad(this->upstreams, need, this->lastHolders, places, this->now);
+        return *chooseEngineToLoad(this->upstreams, need, this->lastEngines, places, this->now);
     }
 
     Instant now{ 1'000'000'000 };
     UpstreamMap upstreams;
-    LastEngines lastHolders;
+    LastEngines lastEngines;
 };
 
 TEST_F(ChooseEngineTest, LoadsANewAdapterInTheZoneOfItsCaller)
@@ -56,15 +56,15 @@
     // Callers of another zone request it next. Loading it there would fetch it from the weight
     // store a second time.
     const ModelName adapter{ "m", "a" };
-    recordLastEngine(this->lastHolders, adapter, UpstreamId{ "e2" });
+    recordLastEngine(this->lastEngines, adapter, UpstreamId{ "e2" });
     EXPECT_EQ(this->choose(adapter, "far").listed.id.value, "e2");
 }
 
 TEST_F(ChooseEngineTest, SkipsAnEngineWithALargePromptBacklog)
 {
     const ModelName adapter{ "m", "a" };
-    recordLastEngine(this->lastHolders, adapter, UpstreamId{ "e2" });
-    add(this->upstreams.at(UpstreamId{ "e2" }).ownPrompts, 40'000, promptLife, this->now);
+    recordLastEngine(this->lastEngines, adapter, UpstreamId{ "e2" });
+    add(this->upstreams.at(UpstreamId{ "e2" }).ownPrompts, 40'000, promptDecayTime, this->now);
     EXPECT_NE(this->choose(adapter).listed.id.value, "e2");
 }
 
@@ -73,31 +73,31 @@
     Upstream &engine = this->upstreams.at(UpstreamId{ "e1" });
     EngineState state = engine.engine;
     state.ready = { { { "m", "a" }, 1 }, { { "m", "b" }, 1 } };
-    setEngine(engine, state, this->lastHolders, this->now);
+    setEngine(engine, state, this->lastEngines, this->now);
     state.ready = { { { "m", "b" }, 1 } };
-    setEngine(engine, state, this->lastHolders, this->now);
+    setEngine(engine, state, this->lastEngines, this->now);
     EXPECT_EQ(this->choose({ "m", "a" }).listed.id.value, "e1");
     // A restarted engine has nothing in its host memory.
     state.ready.clear();
     ++state.start;
-    setEngine(engine, state, this->lastHolders, this->now);
-    EXPECT_EQ(findLastEngine(this->lastHolders, ModelName{ "m", "b" }), nullptr);
+    setEngine(engine, state, this->lastEngines, this->now);
+    EXPECT_EQ(findLastEngine(this->lastEngines, ModelName{ "m", "b" }), nullptr);
 }
 
 // Guards against forgetting a frequently used adapter together with its oldest entry.
 TEST(LastEngines, KeepsAnAdapterThatIsRecordedAgain)
 {
-    LastEngines lastHolders;
+    LastEngines lastEngines;
     const ModelName popular{ "m", "popular" };
     const UpstreamId engine{ "e" };
-    recordLastEngine(lastHolders, popular, engine);
+    recordLastEngine(lastEngines, popular, engine);
     for (std::size_t other = 0; other < maxLastEngines; ++other) {
-        recordLastEngine(lastHolders, { "m", "a" + std::to_string(other) }, engine);
-        recordLastEngine(lastHolders, popular, engine);
+        recordLastEngine(lastEngines, { "m", "a" + std::to_string(other) }, engine);
+        recordLastEngine(lastEngines, popular, engine);
     }
-    EXPECT_NE(findLastEngine(lastHolders, popular), nullptr);
-    EXPECT_EQ(findLastEngine(lastHolders, { "m", "a0" }), nullptr);
-    EXPECT_EQ(lastHolders.entries.size(), maxLastEngines);
+    EXPECT_NE(findLastEngine(lastEngines, popular), nullptr);
+    EXPECT_EQ(findLastEngine(lastEngines, { "m", "a0" }), nullptr);
+    EXPECT_EQ(lastEngines.entries.size(), maxLastEngines);
 }
 
 } // namespace
