--- a/packages/gateway/tests/crash_quarantine_test.cpp
+++ b/packages/gateway/tests/crash_quarantine_test.cpp
@@ -50,7 +50,7 @@
 {
     for (int repeat = 0; repeat < 5; ++repeat)
         EXPECT_FALSE(this->suspect(1, incarnation("a")));
-    EXPECT_EQ(this->quarantine.noted, 1U);
+    EXPECT_EQ(this->quarantine.suspicionsRecorded, 1U);
     EXPECT_FALSE(this->isInQuarantine(1));
 }
 
@@ -63,7 +63,7 @@
     EXPECT_TRUE(this->isInQuarantine(1)) << "the request was sent before the suspicion";
     noteAnswered(this->quarantine, incarnation("e0"), this->now + std::chrono::milliseconds(50));
     EXPECT_FALSE(this->isInQuarantine(1));
-    EXPECT_EQ(this->quarantine.refuted, 1U);
+    EXPECT_EQ(this->quarantine.suspicionsRefuted, 1U);
 }
 
 // Guards against refuting a suspicion by the answers of a restarted upstream: they say nothing of
@@ -102,12 +102,12 @@
 {
     this->suspectAtUpstreams(1, quarantineThreshold);
     this->suspectAtUpstreams(2, 1);
-    forgetLapsed(this->quarantine, this->now + std::chrono::minutes(3));
+    removeExpiredSuspicions(this->quarantine, this->now + std::chrono::minutes(3));
     EXPECT_TRUE(this->isInQuarantine(1));
     EXPECT_FALSE(isSuspected(this->quarantine, RequestDigest{ 2 }));
     EXPECT_EQ(remainingQuarantine(this->quarantine, RequestDigest{ 1 }, this->now),
               Span(std::chrono::minutes(10)));
-    forgetLapsed(this->quarantine, this->now + std::chrono::minutes(11));
+    removeExpiredSuspicions(this->quarantine, this->now + std::chrono::minutes(11));
     EXPECT_FALSE(this->isInQuarantine(1));
     EXPECT_TRUE(this->quarantine.suspectedIncarnations.empty());
 }
--- a/packages/gateway/tests/fleet_exchange_test.cpp
+++ b/packages/gateway/tests/fleet_exchange_test.cpp
@@ -94,7 +94,7 @@
     EXPECT_GE(countTo(sent, "h3"), 12U);
     EXPECT_GE(countTo(sent, "h1"), 4U);
     EXPECT_GT(countTo(sent, "h3"), 2 * countTo(sent, "h1"));
-    EXPECT_EQ(countHeard(this->state.members, this->now), hosts - 1U);
+    EXPECT_EQ(countReachable(this->state.members, this->now), hosts - 1U);
 }
 
 TEST_F(FleetExchangeTest, UnreachableHostOfTheZoneIsDetectedWithinAFewHeartbeats)
@@ -104,7 +104,7 @@
     this->advance(std::chrono::seconds(2));
     this->advance(std::chrono::milliseconds(4000), 3);
     EXPECT_FALSE(isAlive(this->state.members, HostId{ "h3" }, this->now));
-    EXPECT_EQ(countHeard(this->state.members, this->now), hosts - 2U);
+    EXPECT_EQ(countReachable(this->state.members, this->now), hosts - 2U);
 }
 
 TEST_F(FleetExchangeTest, ChangesAreRequestedInTheOwnZoneFirst)
@@ -156,8 +156,8 @@
 
 TEST_F(FleetExchangeTest, RequesterGetsMissingChanges)
 {
-    takeListing(this->state.published, {}, 4);
-    takeChanges(this->state.published, { 4, 9, { { "k", 7, false, "v" } } });
+    applyListing(this->state.published, {}, 4);
+    applyChanges(this->state.published, { 4, 9, { { "k", 7, false, "v" } } });
     Gossip request = this->messageOf(3);
     request.revision = 5;
     EXPECT_TRUE(this->take(request).gossip.empty());
@@ -197,14 +197,14 @@
     Configuration configuration;
     configuration.version = 1;
     setConfiguration(this->state, configuration);
-    takeListing(this->state.published, {}, 5);
+    applyListing(this->state.published, {}, 5);
     Gossip ahead = this->messageOf(3);
     ahead.newestChange = 7;
     this->take(ahead);
     EXPECT_FALSE(readsPlatform(this->state, this->now));
     this->advance(std::chrono::milliseconds(700));
     EXPECT_TRUE(readsPlatform(this->state, this->now));
-    takeListing(this->state.published, {}, 7);
+    applyListing(this->state.published, {}, 7);
     EXPECT_FALSE(readsPlatform(this->state, this->now));
 }
 
@@ -215,8 +215,8 @@
     std::string large(70'000, 'x');
     for (char &one : large)
         one = static_cast<char>(random());
-    takeListing(this->state.published, {}, 5);
-    takeChanges(this->state.published, { 5, 9, { { "k", 7, false, large } } });
+    applyListing(this->state.published, {}, 5);
+    applyChanges(this->state.published, { 5, 9, { { "k", 7, false, large } } });
     Gossip request = this->messageOf(3);
     request.revision = 5;
     request.wantsChanges = true;
@@ -245,12 +245,12 @@
     ListedUpstream after = before;
     after.serial = 5;
     after.engine.ready = { { { "m", "a" }, 1 } };
-    EXPECT_TRUE(saysTheSame(before, after));
+    EXPECT_TRUE(isSameListing(before, after));
     after.isLeaving = true;
-    EXPECT_FALSE(saysTheSame(before, after));
+    EXPECT_FALSE(isSameListing(before, after));
     after = before;
     after.engine.start = 9;
-    EXPECT_FALSE(saysTheSame(before, after));
+    EXPECT_FALSE(isSameListing(before, after));
 }
 
 TEST_F(FleetExchangeTest, AHostWithoutConfigurationReadsThePlatform)
@@ -274,13 +274,13 @@
 TEST_F(FleetExchangeTest, HostThatJoinedLaterClaimsNoEarlierChanges)
 {
     constexpr std::uint64_t joinedAt = 50;
-    takeListing(this->state.published, { { "a", joinedAt - 2, false, "1" } }, joinedAt);
+    applyListing(this->state.published, { { "a", joinedAt - 2, false, "1" } }, joinedAt);
     Gossip request = this->messageOf(3);
     request.wantsChanges = true;
     request.revision = joinedAt - 10;
     EXPECT_EQ(completeUpTo(this->take(request), request), request.revision);
-    takeChanges(this->state.published,
-                { joinedAt, joinedAt + 5, { { "a", joinedAt + 5, false, "2" } } });
+    applyChanges(this->state.published,
+                 { joinedAt, joinedAt + 5, { { "a", joinedAt + 5, false, "2" } } });
     request.revision = joinedAt;
     EXPECT_EQ(completeUpTo(this->take(request), request), joinedAt + 5);
     request.revision = 0;
@@ -292,8 +292,8 @@
 // receivers.
 TEST_F(FleetExchangeTest, HostThatListedAgainClaimsNoChangesInTheGap)
 {
-    takeListing(this->state.published, { { "a", 8, false, "1" } }, 10);
-    takeListing(this->state.published, { { "a", 38, false, "2" } }, 40);
+    applyListing(this->state.published, { { "a", 8, false, "1" } }, 10);
+    applyListing(this->state.published, { { "a", 38, false, "2" } }, 40);
     Gossip request = this->messageOf(3);
     request.wantsChanges = true;
     request.revision = 30;
@@ -307,7 +307,7 @@
 // others have read new listings and none can send them every change.
 TEST_F(FleetExchangeTest, HostSendsNewestChangesIfItCannotSendAll)
 {
-    takeListing(this->state.published, { { "a", 38, false, "2" } }, 40);
+    applyListing(this->state.published, { { "a", 38, false, "2" } }, 40);
     Gossip request = this->messageOf(3);
     request.wantsChanges = true;
     request.revision = 30;
@@ -315,8 +315,8 @@
     const Actions answer = this->take(request);
     ASSERT_EQ(answer.gossip.size(), 1U);
     PublishedState asker;
-    takeListing(asker, { { "a", 29, false, "1" }, { "b", 20, false, "1" } }, 30);
-    EXPECT_EQ(takeChanges(asker, answer.gossip.front().message->changes.front()).size(), 1U);
+    applyListing(asker, { { "a", 29, false, "1" }, { "b", 20, false, "1" } }, 30);
+    EXPECT_EQ(applyChanges(asker, answer.gossip.front().message->changes.front()).size(), 1U);
     EXPECT_EQ(asker.items.at("a").revision, 38U);
     EXPECT_EQ(asker.revision, 30U) << "the requester stays behind and keeps requesting";
     request.newestChange = 38;
@@ -347,15 +347,15 @@
         update.engines.back().state.models = { "base" };
     }
     this->advance(std::chrono::seconds(1));
-    const std::uint64_t before = this->state.counters.engineLooks;
+    const std::uint64_t before = this->state.counters.enginePolls;
     constexpr int seconds = 10;
     for (int second = 0; second < seconds; ++second) {
-        for (EngineNews &one : update.engines)
+        for (EngineUpdate &one : update.engines)
             one.state.seenAt = this->now;
         this->take(update);
         this->advance(std::chrono::seconds(1));
     }
-    EXPECT_LT(this->state.counters.engineLooks - before, engines * seconds);
+    EXPECT_LT(this->state.counters.enginePolls - before, engines * seconds);
 }
 
 } // namespace
--- a/packages/gateway/tests/load_times_test.cpp
+++ b/packages/gateway/tests/load_times_test.cpp
@@ -72,9 +72,9 @@
     LoadTimes times;
     LoadInProgress fromMemory;
     fromMemory.since = Instant{ 1'000'000 };
-    fromMemory.isHeldLately = true;
+    fromMemory.isInHostMemory = true;
     LoadInProgress fromWeightStore = fromMemory;
-    fromWeightStore.isHeldLately = false;
+    fromWeightStore.isInHostMemory = false;
     const Instant soon = fromMemory.since + milliseconds(50);
     EXPECT_TRUE(isEarlyAttemptDue(times, fromMemory, soon));
     EXPECT_FALSE(isEarlyAttemptDue(times, fromWeightStore, soon));
--- a/packages/gateway/tests/order_rights_test.cpp
+++ b/packages/gateway/tests/order_rights_test.cpp
@@ -114,7 +114,7 @@
     receiveZoneHeartbeats(zone);
     zone.self.value = "k";
     this->members.zone.value = "y";
-    this->members.self = firstAlive(zone, ZoneId{ "z" }, "e", this->now);
+    this->members.self = firstLiveHost(zone, ZoneId{ "z" }, "e", this->now);
     for (int step = 0; step < 80; ++step) {
         receiveZoneHeartbeats(this->members);
         this->advance(std::chrono::milliseconds(100), false, 5);
--- a/packages/gateway/tests/platform_reader_test.cpp
+++ b/packages/gateway/tests/platform_reader_test.cpp
@@ -58,8 +58,8 @@
             return;
         }
         const Instant answer = this->store.answerAt(this->now, call->wait, this->known);
-        if (answer >= call->giveUpAt) {
-            this->now = call->giveUpAt + pollInterval;
+        if (answer >= call->callDeadline) {
+            this->now = call->callDeadline + pollInterval;
             noteReadFailure(this->reader, ReadFailure::NoAnswer, this->now);
             return;
         }
--- a/packages/gateway/tests/reading_rate_test.cpp
+++ b/packages/gateway/tests/prefill_rate_test.cpp
@@ -1,4 +1,4 @@
-#include "azurewell/gateway/reading_rate.h"
+#include "azurewell/gateway/prefill_rate.h"
 
 #include <gtest/gtest.h>
 
--- a/packages/gateway/tests/prompt_pacing_test.cpp
+++ b/packages/gateway/tests/prompt_pacing_test.cpp
@@ -18,7 +18,7 @@
     PromptPacer pacer;
     for (int i = 0; i < 20; ++i) {
         const Instant now = start + std::chrono::milliseconds(200) * i;
-        EXPECT_EQ(takeTurn(pacer, adapter, prompt, prefillTokensPerSecond, now).wait, Span{});
+        EXPECT_EQ(admitPrompt(pacer, adapter, prompt, prefillTokensPerSecond, now).wait, Span{});
     }
 }
 
@@ -29,7 +29,7 @@
     PromptPacer pacer;
     std::array<Span, 6> waits{};
     for (Span &wait : waits)
-        wait = takeTurn(pacer, adapter, prompt, prefillTokensPerSecond, start).wait;
+        wait = admitPrompt(pacer, adapter, prompt, prefillTokensPerSecond, start).wait;
     EXPECT_EQ(waits[0], Span{});
     EXPECT_EQ(waits[2], Span{});
     EXPECT_GT(waits[4], waits[3]);
@@ -42,9 +42,9 @@
     // The largest tenth of prompts exceeds the maximum backlog. They wait until the backlog is
     // drained and are not held forever.
     PromptPacer pacer;
-    EXPECT_EQ(takeTurn(pacer, adapter, 6870, prefillTokensPerSecond, start).wait, Span{});
+    EXPECT_EQ(admitPrompt(pacer, adapter, 6870, prefillTokensPerSecond, start).wait, Span{});
     const Instant later = start + std::chrono::milliseconds(600);
-    EXPECT_EQ(takeTurn(pacer, adapter, 6870, prefillTokensPerSecond, later).wait, Span{});
+    EXPECT_EQ(admitPrompt(pacer, adapter, 6870, prefillTokensPerSecond, later).wait, Span{});
 }
 
 TEST(PromptPacing, RequestsACopyOfAnAdapterWithMoreDemandThanOneEngineCanRead)
@@ -56,7 +56,7 @@
     for (int i = 0; i < 30; ++i) {
         const Instant now = start + std::chrono::milliseconds(66) * i;
         isCopyWanted = isCopyWanted
-                || takeTurn(pacer, adapter, prompt, prefillTokensPerSecond, now).isCopyWanted;
+                || admitPrompt(pacer, adapter, prompt, prefillTokensPerSecond, now).isCopyWanted;
     }
     EXPECT_TRUE(isCopyWanted);
 }
@@ -66,7 +66,7 @@
     PromptPacer pacer;
     for (int i = 0; i < 8; ++i) {
         const ModelName other{ "m", "a" + std::to_string(i) };
-        EXPECT_FALSE(takeTurn(pacer, other, prompt, prefillTokensPerSecond, start).isCopyWanted);
+        EXPECT_FALSE(admitPrompt(pacer, other, prompt, prefillTokensPerSecond, start).isCopyWanted);
     }
 }
 
--- a/packages/gateway/tests/published_test.cpp
+++ b/packages/gateway/tests/published_test.cpp
@@ -21,8 +21,8 @@
     // Guards against a withdrawn key that works again because a host receives a change from another
     // host and then reads a stale answer of the platform.
     PublishedState state;
-    takeChanges(state, { 0, 9, { item("k", 9, "new") } });
-    EXPECT_TRUE(takeChanges(state, { 0, 9, { item("k", 7, "old") } }).empty());
+    applyChanges(state, { 0, 9, { item("k", 9, "new") } });
+    EXPECT_TRUE(applyChanges(state, { 0, 9, { item("k", 7, "old") } }).empty());
     EXPECT_EQ(state.items["k"].value, "new");
 }
 
@@ -31,15 +31,15 @@
     // Guards against missing a change between two pages of a listing: if the listing counted as
     // complete up to the newest item, the watch would begin after the change and never report it.
     PublishedState state;
-    takeListing(state, { item("a", 3, "1"), item("z", 12, "2") }, 10);
+    applyListing(state, { item("a", 3, "1"), item("z", 12, "2") }, 10);
     EXPECT_EQ(state.revision, 10U);
 }
 
 TEST(PublishedState, ListingDeletesMissingItems)
 {
     PublishedState state;
-    takeListing(state, { item("a", 3, "1"), item("b", 4, "2") }, 5);
-    const std::vector<PublishedItem> changed = takeListing(state, { item("a", 3, "1") }, 9);
+    applyListing(state, { item("a", 3, "1"), item("b", 4, "2") }, 5);
+    const std::vector<PublishedItem> changed = applyListing(state, { item("a", 3, "1") }, 9);
     ASSERT_EQ(changed.size(), 1U);
     EXPECT_EQ(changed.front().key, "b");
     EXPECT_TRUE(changed.front().isDeleted);
@@ -48,12 +48,12 @@
 TEST(PublishedState, SendsMissingChangesToAnotherHost)
 {
     PublishedState state;
-    takeListing(state, { item("a", 3, "1"), item("b", 8, "2") }, 10);
+    applyListing(state, { item("a", 3, "1"), item("b", 8, "2") }, 10);
     const PublishedChanges changes = changesAfter(state, 5);
     ASSERT_EQ(changes.items.size(), 1U);
     PublishedState other;
-    takeListing(other, { item("a", 3, "1") }, 5);
-    EXPECT_EQ(takeChanges(other, changes).size(), 1U);
+    applyListing(other, { item("a", 3, "1") }, 5);
+    EXPECT_EQ(applyChanges(other, changes).size(), 1U);
     EXPECT_EQ(other.revision, 10U);
 }
 
@@ -61,7 +61,7 @@
 TEST(PublishedState, EntryDeletedAndRestoredInOneSeriesIsKept)
 {
     PublishedState state;
-    takeListing(state, { item("upstream", 3, "1"), item("other", 4, "2") }, 5);
+    applyListing(state, { item("upstream", 3, "1"), item("other", 4, "2") }, 5);
     const auto hasChanged = [&state](const PublishedItem &next) {
         return next.isDeleted || state.items[next.key].value != next.value;
     };
@@ -69,8 +69,8 @@
     changes.items = { { "upstream", 6, true, {} },
                       item("other", 7, "2"),
                       item("upstream", 8, "1") };
-    keepNews(changes.items, hasChanged);
-    takeChanges(state, changes);
+    removeUnchanged(changes.items, hasChanged);
+    applyChanges(state, changes);
     EXPECT_FALSE(state.items["upstream"].isDeleted);
     EXPECT_EQ(state.items["other"].revision, 4U);
 }
@@ -80,8 +80,8 @@
 TEST(PublishedState, KnowsDeletionsOfEarlierItemsAcrossAListing)
 {
     PublishedState state;
-    takeListing(state, { item("a", 3, "1"), item("b", 4, "2") }, 10);
-    takeListing(state, { item("a", 3, "1") }, 20);
+    applyListing(state, { item("a", 3, "1"), item("b", 4, "2") }, 10);
+    applyListing(state, { item("a", 3, "1") }, 20);
     EXPECT_FALSE(isCompleteAfter(state, 9));
     EXPECT_TRUE(isCompleteAfter(state, 10));
     EXPECT_FALSE(isCompleteAfter(state, 15))
@@ -97,10 +97,10 @@
 TEST(PublishedState, IsCompleteSinceTheFirstSendersRevision)
 {
     PublishedState state;
-    takeChanges(state, { 0, 7, { item("a", 7, "1") } }, 50);
-    takeChanges(state, { 7, 30, { item("b", 30, "1") } }, 50);
+    applyChanges(state, { 0, 7, { item("a", 7, "1") } }, 50);
+    applyChanges(state, { 7, 30, { item("b", 30, "1") } }, 50);
     EXPECT_FALSE(isCompleteAfter(state, 30));
-    takeListing(state, { item("a", 7, "1") }, 60);
+    applyListing(state, { item("a", 7, "1") }, 60);
     EXPECT_FALSE(isCompleteAfter(state, 30)) << "the state before the listing was incomplete";
     EXPECT_TRUE(isCompleteAfter(state, 60));
 }
@@ -108,7 +108,7 @@
 TEST(PublishedState, RejectsChangesAfterAGap)
 {
     PublishedState state;
-    EXPECT_TRUE(takeChanges(state, { 5, 9, { item("k", 9, "v") } }).empty());
+    EXPECT_TRUE(applyChanges(state, { 5, 9, { item("k", 9, "v") } }).empty());
     EXPECT_EQ(state.revision, 0U);
 }
 
@@ -133,9 +133,9 @@
 TEST(AdapterUses, OfUnreachableHostExpire)
 {
     // Guards against an adapter that can never be evicted because a host that used it has crashed.
-    OtherUses uses;
+    RemoteUses uses;
     const AdapterRef adapter{ "m/a" };
-    noteOtherUse(uses, adapter, HostId{ "h1" }, true, minHeartbeatInterval, now);
+    recordRemoteUse(uses, adapter, HostId{ "h1" }, true, minHeartbeatInterval, now);
     EXPECT_TRUE(isUsedElsewhere(uses, adapter, now + std::chrono::milliseconds(400)));
     EXPECT_FALSE(isUsedElsewhere(uses, adapter, now + std::chrono::milliseconds(900)));
 }
@@ -155,7 +155,7 @@
                                 Incarnation{ 3 },
                                 std::chrono::milliseconds(40) });
     message.uses.push_back({ CustomerId{ "c" }, 1000.5, 200 });
-    EngineNews update;
+    EngineUpdate update;
     update.engine.value = "e";
     update.state.seenAt = now - std::chrono::milliseconds(100);
     update.state.ordersTaken = 9;
--- a/packages/gateway/tests/quarantined_requests_test.cpp
+++ b/packages/gateway/tests/quarantined_requests_test.cpp
@@ -22,7 +22,7 @@
         route.repeat = RepeatPolicy::Idempotent;
         route.timeout = std::chrono::seconds(4);
         route.objective = std::chrono::milliseconds(300);
-        route.mostAttempts = 3;
+        route.maxAttempts = 3;
         route.services = { { ServiceId{ "desk" }, 1.0 } };
         Configuration configuration;
         configuration.version = 1;
@@ -101,7 +101,7 @@
 // Guards against one request of a caller that crashes one upstream after the other.
 TEST_F(QuarantinedRequestsTest, OneRequestCrashesAtMostThreeUpstreams)
 {
-    this->state.configuration.routes.front().mostAttempts = 5;
+    this->state.configuration.routes.front().maxAttempts = 5;
     this->fillRetryBudget();
     Actions actions = this->sendRequest(1);
     int sends = 0;
--- a/packages/gateway/tests/reading_fleet.h
+++ b/packages/gateway/tests/reading_fleet.h
@@ -35,7 +35,7 @@
             self.zone.value = "z" + std::to_string(index % size.zones);
             self.address = { std::to_string(index), 1 };
             self.seeds = { { "0", 1 }, { "1", 1 }, { "2", 1 } };
-            self.inForceWithin = inForceWithin;
+            self.propagationTimeout = inForceWithin;
             self.randomSeed = seed;
             GatewayState &state = this->hosts[index].state;
             gateway::start(state, self, loadKnownCharts(AZUREWELL_CHARTS_DIR).value(), this->now);
@@ -141,14 +141,14 @@
             if (call) {
                 host.requestedAfter = state.published.revision;
                 host.answerAt = this->store.answerAt(this->now, call->wait, host.requestedAfter);
-                host.giveUpAt = call->giveUpAt;
+                host.giveUpAt = call->callDeadline;
                 host.isRejected = this->store.rejects(index, this->now);
             }
         }
         if (!state.platformReader.isCallActive)
             return;
         if (host.isRejected) {
-            noteReadFailure(state.platformReader, ReadFailure::TurnedAway, this->now);
+            noteReadFailure(state.platformReader, ReadFailure::Rejected, this->now);
             notePlatformFailure(state, this->now);
         } else if (this->now >= host.answerAt) {
             this->takeAnswer(host);
@@ -167,13 +167,13 @@
         notePlatformAnswer(state, isNew, this->now);
         if (!this->store.hasHistoryAfter(host.requestedAfter, this->now)) {
             const std::string value(this->store.valueBytes, 'v');
-            takeListing(state.published, { { "k", revision, false, value } }, revision);
+            applyListing(state.published, { { "k", revision, false, value } }, revision);
             return;
         }
         PublishedChanges changes{ host.requestedAfter, revision, {} };
         for (std::uint64_t next = host.requestedAfter + 1; next <= revision; ++next)
             changes.items.push_back({ "k", next, false, std::string(this->store.valueBytes, 'v') });
-        takeChanges(state.published, changes);
+        applyChanges(state.published, changes);
     }
 
     const FakeStore &store;
--- a/packages/gateway/tests/requests_test.cpp
+++ b/packages/gateway/tests/requests_test.cpp
@@ -28,7 +28,7 @@
         Service llm;
         llm.id.value = "llm";
         llm.engine = EngineLimits{};
-        llm.engine->adapterPlaces = 5;
+        llm.engine->maxLoadedAdapters = 5;
         configuration.services = { { ServiceId{ "desk" }, {}, 0, {} }, llm };
         Customer customer;
         customer.id.value = "c";
@@ -47,7 +47,7 @@
         route.repeat = repeat;
         route.timeout = std::chrono::seconds(2);
         route.objective = std::chrono::milliseconds(300);
-        route.mostAttempts = 2;
+        route.maxAttempts = 2;
         route.services = { { ServiceId{ service }, 1.0 } };
         return route;
     }
@@ -97,7 +97,7 @@
         engine.seenAt = this->now;
         engine.models = { "m" };
         engine.loading = { { { "m", "a1" }, this->now, false } };
-        setEngine(this->state.upstreams.at(UpstreamId{ id }), engine, this->state.lastHolders,
+        setEngine(this->state.upstreams.at(UpstreamId{ id }), engine, this->state.lastEngines,
                   this->now);
     }
 
@@ -232,9 +232,9 @@
     const Actions sent = this->ask("/draft/x");
     ASSERT_EQ(sent.dispatches.size(), 1U);
     Actions left;
-    handle(this->state, CallerLeft{ sent.dispatches.front().request }, this->now, left);
+    handle(this->state, CallerDisconnected{ sent.dispatches.front().request }, this->now, left);
     EXPECT_EQ(left.cancels.size(), 1U);
-    EXPECT_EQ(this->state.upstreams.at(UpstreamId{ "e1" }).underWay, 0U);
+    EXPECT_EQ(this->state.upstreams.at(UpstreamId{ "e1" }).requestsInFlight, 0U);
 }
 
 // Guards against an engine that seems idle because an attempt that failed for good was subtracted
@@ -246,7 +246,7 @@
     this->ask("/draft/y");
     ASSERT_EQ(first.dispatches.size(), 1U);
     this->end(first.dispatches.front(), AttemptOutcome::Failed);
-    EXPECT_EQ(this->state.upstreams.at(UpstreamId{ "e1" }).underWay, 1U);
+    EXPECT_EQ(this->state.upstreams.at(UpstreamId{ "e1" }).requestsInFlight, 1U);
 }
 
 TEST_F(RequestsTest, AnAdapterInAnOlderVersionIsNotUsed)
@@ -266,15 +266,15 @@
     EXPECT_TRUE(asked.dispatches.empty());
     const auto ask = std::find_if(
             asked.gossip.begin(), asked.gossip.end(),
-            [](const SendGossip &sent) { return !sent.message->promptAsks.empty(); });
+            [](const SendGossip &sent) { return !sent.message->admissionRequests.empty(); });
     ASSERT_NE(ask, asked.gossip.end());
     Gossip answer;
     answer.from.value = ask->to.ip;
     answer.zone.value = "z";
     answer.address = ask->to;
     answer.incarnation.value = 1;
-    const std::uint64_t number = ask->message->promptAsks.front().request;
-    answer.promptAnswers.push_back({ number, std::chrono::milliseconds(100), false });
+    const std::uint64_t number = ask->message->admissionRequests.front().request;
+    answer.admissionReplies.push_back({ number, std::chrono::milliseconds(100), false });
     Actions answered;
     handle(this->state, answer, this->now, answered);
     EXPECT_TRUE(answered.dispatches.empty());
@@ -289,7 +289,7 @@
 {
     const auto ask = std::find_if(
             actions.gossip.rbegin(), actions.gossip.rend(),
-            [](const SendGossip &sent) { return !sent.message->promptAsks.empty(); });
+            [](const SendGossip &sent) { return !sent.message->admissionRequests.empty(); });
     EXPECT_NE(ask, actions.gossip.rend());
     return *ask;
 }
@@ -301,7 +301,8 @@
     answer.zone.value = "z";
     answer.address = ask.to;
     answer.incarnation.value = 1;
-    answer.promptAnswers.push_back({ ask.message->promptAsks.front().request, wait, false });
+    answer.admissionReplies.push_back(
+            { ask.message->admissionRequests.front().request, wait, false });
     Actions actions;
     handle(state, answer, now, actions);
     return actions;
@@ -314,16 +315,16 @@
     this->list("e2", "llm", "a1");
     this->joinLargeFleet();
     const SendGossip first = lastAsk(this->ask("/draft/x"));
-    const UpstreamId crowded = first.message->promptAsks.front().engine;
+    const UpstreamId crowded = first.message->admissionRequests.front().engine;
     const Actions asked = answerAsk(this->state, first, std::chrono::milliseconds(200), this->now);
     EXPECT_TRUE(asked.dispatches.empty());
     const SendGossip second = lastAsk(asked);
-    EXPECT_NE(second.message->promptAsks.front().engine, crowded);
+    EXPECT_NE(second.message->admissionRequests.front().engine, crowded);
     const Actions sent = answerAsk(this->state, second, Span{}, this->now);
     ASSERT_EQ(sent.dispatches.size(), 1U);
     EXPECT_NE(sent.dispatches.front().upstream, crowded);
-    const PromptAsk returned = lastAsk(sent).message->promptAsks.front();
-    EXPECT_TRUE(returned.isGivenBack);
+    const AdmissionRequest returned = lastAsk(sent).message->admissionRequests.front();
+    EXPECT_TRUE(returned.isReturned);
     EXPECT_EQ(returned.engine, crowded);
 }
 
@@ -335,12 +336,12 @@
     this->list("e2", "llm", "a1");
     this->joinLargeFleet();
     const SendGossip first = lastAsk(this->ask("/draft/x"));
-    const UpstreamId engine = first.message->promptAsks.front().engine;
+    const UpstreamId engine = first.message->admissionRequests.front().engine;
     const Span wait = std::chrono::milliseconds(100);
     const Actions asked = answerAsk(this->state, first, wait, this->now);
     const Actions answered = answerAsk(this->state, lastAsk(asked), wait * 2, this->now);
     EXPECT_TRUE(answered.dispatches.empty());
-    EXPECT_TRUE(lastAsk(answered).message->promptAsks.front().isGivenBack);
+    EXPECT_TRUE(lastAsk(answered).message->admissionRequests.front().isReturned);
     EXPECT_TRUE(this->tickAfter(wait - tickInterval).empty());
     const std::vector<Dispatch> sent = this->tickAfter(tickInterval);
     ASSERT_EQ(sent.size(), 1U);
@@ -359,7 +360,7 @@
     EXPECT_TRUE(this->tickAfter(wait - tickInterval).empty());
     const std::vector<Dispatch> sent = this->tickAfter(tickInterval);
     ASSERT_EQ(sent.size(), 1U);
-    EXPECT_EQ(sent.front().upstream, first.message->promptAsks.front().engine);
+    EXPECT_EQ(sent.front().upstream, first.message->admissionRequests.front().engine);
 }
 
 TEST_F(RequestsTest, APromptIsSentIfItsCoordinatorDoesNotAnswer)
@@ -381,7 +382,7 @@
     this->load("e1");
     for (int earned = 0; earned < 20; ++earned)
         this->end(this->ask("/look/x").dispatches.front(), AttemptOutcome::Done);
-    countFirstTry(this->state.retryBudgets[ServiceId{ "llm" }]);
+    countFirstAttempt(this->state.retryBudgets[ServiceId{ "llm" }]);
     this->state.retryBudgets[ServiceId{ "llm" }].tokens = 3;
     EXPECT_TRUE(this->ask("/draft/x").dispatches.empty());
     EXPECT_TRUE(this->ask("/draft/x").dispatches.empty());
--- a/packages/gateway/tests/zone_relay_test.cpp
+++ b/packages/gateway/tests/zone_relay_test.cpp
@@ -37,7 +37,7 @@
 
     std::string selectedRelay()
     {
-        const Member *relay = askRelay(this->members, this->members.zone, this->now);
+        const Member *relay = selectRelay(this->members, this->members.zone, this->now);
         return relay ? relay->id.value : std::string();
     }
 
@@ -46,9 +46,9 @@
     Instant now{ 1'000'000'000 };
 };
 
-RelayedNews updateOf(const std::string &host, const std::string &engine, std::int64_t micros)
+RelayedUpdate updateOf(const std::string &host, const std::string &engine, std::int64_t micros)
 {
-    RelayedNews update;
+    RelayedUpdate update;
     update.origin.value = host;
     update.incarnation.value = 1;
     update.uses = { { CustomerId{ "c" }, static_cast<double>(micros), 1 } };
@@ -101,18 +101,18 @@
 {
     this->now = this->now + std::chrono::seconds(30);
     EXPECT_EQ(this->selectedRelay(), "");
-    EXPECT_EQ(askRelay(this->members, ZoneId{ "unknown" }, this->now), nullptr);
+    EXPECT_EQ(selectRelay(this->members, ZoneId{ "unknown" }, this->now), nullptr);
 }
 
 TEST(RelayedNewsTest, MergeKeepsNewestUpdatePerEngineAndCustomer)
 {
-    std::map<HostId, RelayedNews> collected;
+    std::map<HostId, RelayedUpdate> collected;
     mergeUpdate(collected, updateOf("a", "e1", 10));
     mergeUpdate(collected, updateOf("a", "e2", 20));
     mergeUpdate(collected, updateOf("a", "e1", 30));
     mergeUpdate(collected, updateOf("b", "e1", 40));
     ASSERT_EQ(collected.size(), 2U);
-    const RelayedNews &fromA = collected[HostId{ "a" }];
+    const RelayedUpdate &fromA = collected[HostId{ "a" }];
     ASSERT_EQ(fromA.engines.size(), 2U);
     EXPECT_EQ(fromA.engines.back().state.seenAt, Instant{ 30 });
     ASSERT_EQ(fromA.uses.size(), 1U);
@@ -122,9 +122,9 @@
 // Guards against attributing what a host admitted in its earlier incarnation to its current one.
 TEST(RelayedNewsTest, RestartedHostReplacesEarlierUpdates)
 {
-    std::map<HostId, RelayedNews> collected;
+    std::map<HostId, RelayedUpdate> collected;
     mergeUpdate(collected, updateOf("a", "e1", 10));
-    RelayedNews later = updateOf("a", "e2", 5);
+    RelayedUpdate later = updateOf("a", "e2", 5);
     later.incarnation.value = 2;
     mergeUpdate(collected, later);
     EXPECT_EQ(collected[HostId{ "a" }].engines.size(), 1U);
@@ -135,19 +135,19 @@
 // entirely.
 TEST(RelayedNewsTest, EachPartFitsIntoADatagram)
 {
-    std::map<HostId, RelayedNews> collected;
+    std::map<HostId, RelayedUpdate> collected;
     constexpr int hosts = 200;
     constexpr int customers = 19;
     constexpr std::size_t largestPart = 20'000;
     for (int host = 0; host < hosts; ++host) {
-        RelayedNews update = updateOf("host-with-a-long-name-" + std::to_string(host), "e", 1);
+        RelayedUpdate update = updateOf("host-with-a-long-name-" + std::to_string(host), "e", 1);
         for (int customer = 0; customer < customers; ++customer)
             update.uses.push_back(
                     { CustomerId{ "customer-" + std::to_string(customer) }, 1e6, 1e5 });
         mergeUpdate(collected, update);
     }
     std::size_t sentHosts = 0;
-    for (const std::vector<RelayedNews> &part : splitUpdates(collected)) {
+    for (const std::vector<RelayedUpdate> &part : splitUpdates(collected)) {
         Gossip message;
         message.relayed = part;
         sentHosts += part.size();
@@ -168,7 +168,7 @@
     EXPECT_EQ(arrived.value().relayTo, RelayScope::Zone);
     EXPECT_EQ(arrived.value().linkMbps, 200U);
     ASSERT_EQ(arrived.value().relayed.size(), 1U);
-    const RelayedNews &update = arrived.value().relayed.front();
+    const RelayedUpdate &update = arrived.value().relayed.front();
     EXPECT_EQ(update.origin.value, "a");
     EXPECT_EQ(update.uses.front().admitted, static_cast<double>(now.micros));
     EXPECT_EQ(update.engines.front().state.seenAt, now);
--- a/packages/host/include/azurewell/host/actions.h
+++ b/packages/host/include/azurewell/host/actions.h
@@ -20,14 +20,14 @@
 };
 
 /// Answer a caller's repeat of a call that has run with the stored answer of the first run.
-struct AnswerHeld
+struct AnswerFromStore
 {
     RequestId request;
     HeldAnswer answer;
 };
 
 /// Answer a caller with call numbers for its next calls.
-struct AnswerNumbers
+struct AnswerCallNumbers
 {
     RequestId request;
     std::vector<CallNumber> numbers;
@@ -75,15 +75,15 @@
 };
 
 /// Request a load report from an engine.
-struct AskLoad
+struct QueryLoadReport
 {
     UpstreamId engine;
     std::string address;
-    Instant askedAt; ///< Returned in the report.
+    Instant queriedAt; ///< Returned in the report.
 };
 
 /// Log that a ticket was put in force or refused.
-struct TicketNoted
+struct TicketProcessed
 {
     TicketNumber number;
     bool isInForce = false;
@@ -91,11 +91,11 @@
 };
 
 /// The planned stop is complete: exit the process.
-struct LeaveProcess
+struct ExitProcess
 {
 };
 
-using Action = std::variant<Refuse, Dispatch, CancelAttempt, SendPeer, OrderEngine, AskLoad,
-                            TicketNoted, LeaveProcess, AnswerHeld, AnswerNumbers>;
+using Action = std::variant<Refuse, Dispatch, CancelAttempt, SendPeer, OrderEngine, QueryLoadReport,
+                            TicketProcessed, ExitProcess, AnswerFromStore, AnswerCallNumbers>;
 
 } // namespace azurewell
--- a/packages/host/include/azurewell/host/call_state.h
+++ b/packages/host/include/azurewell/host/call_state.h
@@ -42,8 +42,9 @@
     Instant nextUpdate;
     /// Permit replies received, by verdict.
     std::array<std::uint64_t, permitVerdictCount> receivedVerdicts{};
-    std::uint64_t numbersIssued = 0;
-    std::uint64_t unreachable = 0;    ///< Permit requests that the issuer did not answer in time.
+    std::uint64_t callNumbersIssued = 0;
+    std::uint64_t unreachableIssuers
+            = 0;                      ///< Permit requests that the issuer did not answer in time.
     bool isIgnoringPermitEnd = false; ///< Fault injection: ignores the end of permits.
     bool isAssumingNotRun = false; ///< Fault injection: refusals report "not run" without checking.
 };
--- a/packages/host/include/azurewell/host/keeper_state.h
+++ b/packages/host/include/azurewell/host/coordination_state.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "azurewell/fleet/keeper_views.h"
+#include "azurewell/fleet/coordinator_views.h"
 
 #include <cstdint>
 #include <map>
--- a/packages/host/include/azurewell/host/counters.h
+++ b/packages/host/include/azurewell/host/counters.h
@@ -26,7 +26,7 @@
 /// Counters of a host, published at /metrics.
 struct Counters
 {
-    std::uint64_t arrived = 0;
+    std::uint64_t requestsArrived = 0;
     std::uint64_t completed = 0;
     std::uint64_t dispatched = 0;
     std::uint64_t resumed = 0;
@@ -38,7 +38,8 @@
     std::uint64_t loadsFailed = 0;
     std::uint64_t evictionsOrdered = 0;
     std::uint64_t generatedTokens = 0;
-    std::uint64_t lateWakes = 0; ///< Times that the process was suspended for a second or more.
+    std::uint64_t processSuspensions
+            = 0; ///< Times that the process was suspended for a second or more.
     /// Orders that an engine rejected for an outdated fencing number.
     std::uint64_t ordersRefused = 0;
     std::uint64_t leasesExpired = 0; ///< Slots that were not renewed in time.
--- a/packages/host/include/azurewell/host/events.h
+++ b/packages/host/include/azurewell/host/events.h
@@ -21,18 +21,18 @@
     RequestId request;
     RequestKind kind = RequestKind::Completion;
     KeyHash key;
-    AdapterRef adapter;        ///< Set for completions.
-    ServiceId service;         ///< Set for service calls.
-    bool isSafeMethod = false; ///< GET or HEAD: may be sent twice for any service.
-    CallNumber callNumber;     ///< For service calls; empty if the caller gave none.
-    std::uint32_t numbers = 0; ///< Number of call numbers requested.
+    AdapterRef adapter;                ///< Set for completions.
+    ServiceId service;                 ///< Set for service calls.
+    bool isSafeMethod = false;         ///< GET or HEAD: may be sent twice for any service.
+    CallNumber callNumber;             ///< For service calls; empty if the caller gave none.
+    std::uint32_t callNumberCount = 0; ///< Number of call numbers requested.
     Tokens promptTokens;
-    Tokens mostGenerated;
+    Tokens maxGenerated;
     Instant deadline;
 };
 
 /// The caller closed its connection before the answer was complete.
-struct CallerLeft
+struct CallerDisconnected
 {
     RequestId request;
 };
@@ -62,8 +62,8 @@
     RequestId request;
     std::uint32_t attempt = 0;
     AttemptOutcome outcome = AttemptOutcome::Done;
-    Tokens generated;            ///< Tokens forwarded to the caller by all attempts together.
-    bool hasAnswerBegun = false; ///< Whether the head of an answer was forwarded to the caller.
+    Tokens generated;              ///< Tokens forwarded to the caller by all attempts together.
+    bool hasAnswerStarted = false; ///< Whether the head of an answer was forwarded to the caller.
     HeldAnswer answer{}; ///< Answer of a call with a number, if it is short enough to be stored.
 };
 
@@ -101,7 +101,7 @@
     std::uint32_t queued = 0;
     std::vector<AdapterRef> loaded;
     std::uint64_t engineStart = 0; ///< Changes when the engine restarts.
-    Instant askedAt;               ///< When the answered AskLoad was issued.
+    Instant queriedAt;             ///< When the answered QueryLoadReport was issued.
 };
 
 /// An order to load or unload an adapter was carried out or failed.
@@ -113,7 +113,7 @@
     bool isDone = false;
     FencingNumber fencing; ///< Fencing number of the order.
     /// The engine's own highest fencing number if it rejected the order for a lower one, else 0.
-    FencingNumber refusedBy;
+    FencingNumber engineFencing;
 };
 
 /// A segment of a snapshot, read from the platform.
@@ -123,7 +123,7 @@
 };
 
 /// The configuration service responded, even if nothing has changed.
-struct PlatformHeard
+struct PlatformResponded
 {
 };
 
@@ -139,8 +139,8 @@
     Span grace{};
 };
 
-using Event = std::variant<RequestArrived, CallerLeft, AttemptProgress, AttemptEnded,
+using Event = std::variant<RequestArrived, CallerDisconnected, AttemptProgress, AttemptEnded,
                            PeerMessageReceived, TicketRead, HostListRead, LoadReported, OrderEnded,
-                           PlatformHeard, SnapshotRead, Tick, StopAsked>;
+                           PlatformResponded, SnapshotRead, Tick, StopAsked>;
 
 } // namespace azurewell
--- a/packages/host/include/azurewell/host/host.h
+++ b/packages/host/include/azurewell/host/host.h
@@ -34,6 +34,6 @@
 
 /// Whether this host must refuse new requests because its newest information from the configuration
 /// service, which includes key withdrawals, is older than the tickets allow.
-bool isWithoutNews(const HostState &state, Instant now);
+bool isWithoutUpdates(const HostState &state, Instant now);
 
 } // namespace azurewell
--- a/packages/host/include/azurewell/host/host_state.h
+++ b/packages/host/include/azurewell/host/host_state.h
@@ -3,12 +3,12 @@
 #include "azurewell/charts/known_charts.h"
 #include "azurewell/fleet/membership.h"
 #include "azurewell/host/call_state.h"
+#include "azurewell/host/coordination_state.h"
 #include "azurewell/host/counters.h"
 #include "azurewell/host/events.h"
 #include "azurewell/host/heartbeat_state.h"
-#include "azurewell/host/keeper_state.h"
 #include "azurewell/host/ticket_state.h"
-#include "azurewell/limits/share_holder.h"
+#include "azurewell/limits/rate_shares.h"
 #include "azurewell/placement/engine_adapters.h"
 #include "azurewell/placement/load_pacer.h"
 #include "azurewell/routing/retry_budget.h"
@@ -155,12 +155,12 @@
     CoordinationState coordination;
 
     std::unordered_map<RequestId, RequestRecord> requests;
-    ShareHolder shares; ///< This host's shares of every customer's rate and burst.
+    RateShares shares; ///< This host's shares of every customer's rate and burst.
     std::deque<RequestId> waitingForTokens; ///< Oldest first.
     std::unordered_map<UpstreamId, UpstreamHealth> upstreams;
     UpstreamTable routing;
     LoadPacer loadPacer;
-    std::map<UpstreamId, CoordinatedEngine> kept;
+    std::map<UpstreamId, CoordinatedEngine> coordinatedEngines;
     RetryBudget retryBudget;
 
     CallState calls;
--- a/packages/host/include/azurewell/host/ticket_state.h
+++ b/packages/host/include/azurewell/host/ticket_state.h
@@ -39,7 +39,7 @@
     bool isRequestScanDue = false;
     /// The ticket that was rejected last; later tickets wait for its correction.
     TicketNumber refused;
-    std::string refusedWhy;
+    std::string rejectionReason;
     std::string refusedText;
     /// Fault injection: a newly started host trusts the platform without asking its peers.
     bool isTrustingPlatformAtOnce = false;
--- a/packages/host/src/calls.cpp
+++ b/packages/host/src/calls.cpp
@@ -112,7 +112,7 @@
         refuseCall(step, record, ResultCode::CallAlreadyDone, RunState::Ran);
         return;
     }
-    step.actions.emplace_back(AnswerHeld{ record.arrival.request, answer });
+    step.actions.emplace_back(AnswerFromStore{ record.arrival.request, answer });
     endRequest(step, record);
 }
 
@@ -131,7 +131,7 @@
         }
     }
     for (const RequestId &id : unanswered) {
-        ++step.state.calls.unreachable;
+        ++step.state.calls.unreachableIssuers;
         if (RequestRecord *record = findRequest(step.state, id))
             refuseCall(step, *record, ResultCode::OutcomeUnknown, RunState::Unknown);
     }
@@ -274,12 +274,12 @@
 
 void issueNumbers(Step &step, const RequestArrived &event, const CustomerId &customer)
 {
-    AnswerNumbers answer;
+    AnswerCallNumbers answer;
     answer.request = event.request;
-    const std::uint32_t count = std::clamp(event.numbers, 1U, maxNumbersPerRequest);
+    const std::uint32_t count = std::clamp(event.callNumberCount, 1U, maxNumbersPerRequest);
     for (std::uint32_t index = 0; index < count; ++index)
         answer.numbers.push_back(issueCallNumber(step.state.calls.ledger, customer));
-    step.state.calls.numbersIssued += count;
+    step.state.calls.callNumbersIssued += count;
     step.actions.emplace_back(std::move(answer));
 }
 
--- a/packages/host/src/keepers.cpp
+++ b/packages/host/src/coordinators.cpp
@@ -77,7 +77,7 @@
         coordination.joinAllowedAt = never;
         return;
     }
-    const Span inFlight = possible.empty() ? Span{} : unloadTimeout + orderFlight;
+    const Span inFlight = possible.empty() ? Span{} : unloadTimeout + maxOrderTransit;
     coordination.joinAllowedAt = std::min(coordination.joinAllowedAt, step.now + inFlight);
 }
 
@@ -93,7 +93,8 @@
             && step.now >= coordination.listenUntil;
     const bool hasAllPromises = isSettled
             && isPromisedByAll(coordination.views, possible,
-                               step.now + membershipUpdateInterval + unloadTimeout + orderFlight);
+                               step.now + membershipUpdateInterval + unloadTimeout
+                                       + maxOrderTransit);
     const bool isNewlyComplete = hasAllPromises
             && (!coordination.hasAllPromises
                 || coordination.views.lastCompleteEpoch != coordination.views.epoch);
@@ -105,7 +106,7 @@
     const bool hasLostHost = coordination.hostsSinceComplete.size() > possible.size();
     coordination.hostsSinceComplete = { possible.begin(), possible.end() };
     const bool isSteady = recordAllPromises(coordination.views, possible) && !hasLostHost;
-    for (auto &[id, engineState] : state.kept) {
+    for (auto &[id, engineState] : state.coordinatedEngines) {
         if (engineState.evictionAllowedFrom == never || !isSteady)
             engineState.evictionAllowedFrom = step.now + slotLease;
         if (!isSteady)
@@ -132,7 +133,7 @@
     if (!mayAdopt || step.now < coordination.listenUntil
         || !adoptView(coordination.views, coordination.candidateHosts, step.now))
         return;
-    for (auto &[id, engineState] : state.kept) {
+    for (auto &[id, engineState] : state.coordinatedEngines) {
         if (!isSelfCoordinatorAmong(state, coordination.views.adoptedHosts, id))
             engineState.evictionAllowedFrom = never;
     }
@@ -150,7 +151,7 @@
         // The state dates from before the suspension. Leases and promises have deadlines and expire
         // by themselves; the heartbeat deadlines of peers must be extended, or every peer would
         // seem unreachable.
-        ++step.state.counters.lateWakes;
+        ++step.state.counters.processSuspensions;
         coordination.listenUntil = step.now + listenDuration;
         coordination.hasAllPromises = false;
         extendHeartbeatDeadlines(step.state.membership, step.now);
--- a/packages/host/src/engine_reports.cpp
+++ b/packages/host/src/engine_reports.cpp
@@ -32,7 +32,7 @@
     if (engineState.orders.contains(ref) || engineState.abandonedUnloads.contains(ref))
         return false;
     const auto ended = engineState.orderEndedAt.find(ref);
-    return ended == engineState.orderEndedAt.end() || report.askedAt > ended->second;
+    return ended == engineState.orderEndedAt.end() || report.queriedAt > ended->second;
 }
 
 /// Updates the loaded adapters from \a report and drops those that the engine no longer has.
@@ -71,13 +71,13 @@
 
 void onLoadReported(Step &step, const LoadReported &report)
 {
-    const auto found = step.state.kept.find(report.engine);
-    if (found == step.state.kept.end() || !report.isReachable)
+    const auto found = step.state.coordinatedEngines.find(report.engine);
+    if (found == step.state.coordinatedEngines.end() || !report.isReachable)
         return;
     CoordinatedEngine &engineState = found->second;
-    if (report.askedAt < engineState.newestReportRequestedAt)
+    if (report.queriedAt < engineState.newestReportRequestedAt)
         return; // a newer report was processed before
-    engineState.newestReportRequestedAt = report.askedAt;
+    engineState.newestReportRequestedAt = report.queriedAt;
     if (engineState.engineStart != 0 && engineState.engineStart != report.engineStart)
         clearAdapters(step, engineState);
     engineState.engineStart = report.engineStart;
@@ -88,7 +88,7 @@
     // host is suspended or disconnected. The engine then reports more running requests than are
     // granted.
     const bool isAfterLeases = engineState.evictionAllowedFrom != never
-            && report.askedAt >= engineState.evictionAllowedFrom;
+            && report.queriedAt >= engineState.evictionAllowedFrom;
     if (isAfterLeases && report.running + report.queued <= engineState.granted.size())
         engineState.hasNoUnknownRequests = true;
     const Upstream *engine = upstreamInForce(step.state, report.engine);
@@ -99,14 +99,14 @@
 void onOrderEnded(Step &step, const OrderEnded &event)
 {
     HostState &state = step.state;
-    if (event.refusedBy > FencingNumber{}) {
+    if (event.engineFencing > FencingNumber{}) {
         // Another coordinator has used a higher number; the next order must be above it.
         ++state.counters.ordersRefused;
-        state.fencing = std::max(state.fencing, event.refusedBy);
+        state.fencing = std::max(state.fencing, event.engineFencing);
     }
-    const auto engineState = state.kept.find(event.engine);
+    const auto engineState = state.coordinatedEngines.find(event.engine);
     const Upstream *engine = upstreamInForce(state, event.engine);
-    if (engineState == state.kept.end() || !engine)
+    if (engineState == state.coordinatedEngines.end() || !engine)
         return;
     const auto order = engineState->second.orders.find(event.adapter);
     const bool isNumbered = event.fencing > FencingNumber{};
@@ -120,7 +120,7 @@
     const auto adapter = adapters.adapters.find(event.adapter);
     if (event.isLoad && adapter != adapters.adapters.end()
         && adapter->second.state == AdapterState::Loading)
-        noteLoadEnded(state.loadPacer, listedHosts(state), step.now - adapter->second.orderedAt,
+        recordLoadEnd(state.loadPacer, listedHosts(state), step.now - adapter->second.orderedAt,
                       step.now);
     if (event.isLoad && !event.isDone) {
         ++state.counters.loadsFailed;
@@ -130,14 +130,14 @@
         return;
     }
     if (!event.isLoad && !event.isDone) {
-        engineState->second.abandonedUnloads[event.adapter] = step.now + orderFlight;
+        engineState->second.abandonedUnloads[event.adapter] = step.now + maxOrderTransit;
         return;
     }
     applyEvent(adapters, chart, event.adapter,
                event.isLoad ? AdapterEvent::LoadDone : AdapterEvent::UnloadDone, step.now);
     grantReady(step, engineState->second, *engine);
     // A load has ended: the next one may be for any of the engines coordinated here.
-    for (auto &[id, other] : state.kept) {
+    for (auto &[id, other] : state.coordinatedEngines) {
         if (const Upstream *upstream = upstreamInForce(state, id))
             orderLoads(step, other, *upstream);
     }
@@ -146,7 +146,7 @@
 std::vector<EngineSummary> summarizeEngines(const HostState &state)
 {
     std::vector<EngineSummary> summaries;
-    for (const auto &[id, engineState] : state.kept) {
+    for (const auto &[id, engineState] : state.coordinatedEngines) {
         EngineSummary summary;
         summary.engine = id;
         summary.queued = static_cast<std::uint32_t>(engineState.queue.size);
--- a/packages/host/src/host.cpp
+++ b/packages/host/src/host.cpp
@@ -16,7 +16,7 @@
     if (state.process != ProcessState::Draining || !isGraceOver || !isIdle)
         return;
     state.process = advance(state.charts.process, state.process, ProcessEvent::LastRequestDone);
-    step.actions.emplace_back(LeaveProcess{});
+    step.actions.emplace_back(ExitProcess{});
 }
 
 void onTick(Step &step)
@@ -53,7 +53,7 @@
     {
         onRequestArrived(this->step, event);
     }
-    void operator()(const CallerLeft &event) const
+    void operator()(const CallerDisconnected &event) const
     {
         onCallerLeft(this->step, event);
     }
@@ -89,7 +89,7 @@
     {
         onSnapshotRead(this->step, event.text);
     }
-    void operator()(const PlatformHeard &) const
+    void operator()(const PlatformResponded &) const
     {
         recordPlatformResponse(this->step);
     }
@@ -127,7 +127,7 @@
 {
     Step step{ state, now, actions };
     detectSuspension(step);
-    noteTime(state.shares, now); // a host that was suspended must first check its ordinal
+    detectPause(state.shares, now); // a host that was suspended must first check its ordinal
     std::visit(Handler{ step }, event);
     while (!state.loopback.empty()) {
         const PeerMessage message = std::move(state.loopback.front());
--- a/packages/host/src/internal.h
+++ b/packages/host/src/internal.h
@@ -40,7 +40,7 @@
 /// Sends the request to its upstream, at the latest at \a notAfter.
 void dispatch(Step &step, RequestRecord &record, Instant notAfter);
 void onRequestArrived(Step &step, const RequestArrived &event);
-void onCallerLeft(Step &step, const CallerLeft &event);
+void onCallerLeft(Step &step, const CallerDisconnected &event);
 void admitWaiting(Step &step);
 /// Ends a running request whose borrowed tokens have expired.
 void endOverdue(Step &step, const RequestId &request);
@@ -49,7 +49,7 @@
 void enforceTickets(Step &step);
 
 // shares.cpp: this host's shares of the customers' rates.
-ShareHolder makeShares(const HostIdentity &self);
+RateShares makeShares(const HostIdentity &self);
 /// Sets the size of every customer's share according to the tickets in force.
 void applyShareTerms(Step &step);
 void onHostHeartbeat(Step &step, const HostId &host, Incarnation incarnation, const SeatId &seat);
@@ -109,7 +109,7 @@
 /// Whether outcome reports are still to be acknowledged or received.
 bool hasOpenCalls(const Step &step);
 
-// keepers.cpp: which host coordinates which engine, and what the coordinator may do.
+// coordinators.cpp: which host coordinates which engine, and what the coordinator may do.
 /// To be called first for each event: detects that the process was suspended.
 void detectSuspension(Step &step);
 /// Updates unreachable peers, the adopted view and the promises about it.
--- a/packages/host/src/requests.cpp
+++ b/packages/host/src/requests.cpp
@@ -22,7 +22,7 @@
 
 Tokens costOf(const RequestArrived &arrival)
 {
-    return arrival.promptTokens + arrival.mostGenerated;
+    return arrival.promptTokens + arrival.maxGenerated;
 }
 
 namespace {
@@ -129,7 +129,7 @@
 
 void start(Step &step, RequestRecord &record)
 {
-    countFirstTry(step.state.retryBudget);
+    countFirstAttempt(step.state.retryBudget);
     if (needsPermit(record))
         requestPermit(step, record);
     else if (record.arrival.kind == RequestKind::ServiceCall)
@@ -191,7 +191,7 @@
 void onRequestArrived(Step &step, const RequestArrived &event)
 {
     HostState &state = step.state;
-    ++state.counters.arrived;
+    ++state.counters.requestsArrived;
     const RunState initialRunState = runStateAtArrival(event);
     const bool isInGrace = state.process == ProcessState::Draining && step.now < state.servesUntil;
     if (state.process != ProcessState::Serving && !isInGrace) {
@@ -201,7 +201,7 @@
                defaultRetryAfter);
         return;
     }
-    if (isWithoutNews(state, step.now)) {
+    if (isWithoutUpdates(state, step.now)) {
         refuse(step, event.request, ResultCode::HostWithoutNews, initialRunState,
                defaultRetryAfter);
         return;
@@ -301,7 +301,7 @@
     endEjections(step);
 }
 
-void onCallerLeft(Step &step, const CallerLeft &event)
+void onCallerLeft(Step &step, const CallerDisconnected &event)
 {
     RequestRecord *record = findRequest(step.state, event.request);
     if (!record)
--- a/packages/host/src/shares.cpp
+++ b/packages/host/src/shares.cpp
@@ -20,12 +20,12 @@
 
 } // namespace
 
-ShareHolder makeShares(const HostIdentity &self)
+RateShares makeShares(const HostIdentity &self)
 {
     ShareSettings settings;
     settings.resumesUnconfirmed = self.resumesUnconfirmed;
-    return makeShareHolder(SeatId{ self.zone, self.seat }, HostLife{ self.id, self.incarnation },
-                           &seatWeight, settings);
+    return makeRateShares(SeatId{ self.zone, self.seat },
+                          HostIncarnation{ self.id, self.incarnation }, &seatWeight, settings);
 }
 
 void applyShareTerms(Step &step)
@@ -45,14 +45,14 @@
 {
     const auto peer = step.state.membership.peers.find(host);
     const bool isKnown = peer != step.state.membership.peers.end();
-    noteSeat(step.state.shares, seat, HostLife{ host, incarnation }, step.now,
-             isKnown ? peer->second.suspectTimeout : Span{});
+    recordContact(step.state.shares, seat, HostIncarnation{ host, incarnation }, step.now,
+                  isKnown ? peer->second.suspectTimeout : Span{});
 }
 
 void onShareBody(Step &step, const PeerMessage &message, const ShareBody &body)
 {
     std::vector<ShareOutgoing> out;
-    const HostLife sender{ message.sender, message.incarnation };
+    const HostIncarnation sender{ message.sender, message.incarnation };
     const std::optional<CustomerId> funded = onShareMessage(step.state.shares, sender, body,
                                                             step.now, out);
     sendAll(step, out);
@@ -63,7 +63,7 @@
 void requestCustomerTokens(Step &step, const CustomerId &customer, Tokens waiting)
 {
     std::vector<ShareOutgoing> out;
-    seekTokens(step.state.shares, customer, waiting, step.now, out);
+    requestTokens(step.state.shares, customer, waiting, step.now, out);
     sendAll(step, out);
 }
 
@@ -76,9 +76,9 @@
 void updateHostShares(Step &step)
 {
     std::vector<ShareOutgoing> out;
-    tendShares(step.state.shares, step.now, out);
+    pollShares(step.state.shares, step.now, out);
     sendAll(step, out);
-    for (const RequestId &request : takeOverdue(step.state.shares, step.now))
+    for (const RequestId &request : takeOverdueRequests(step.state.shares, step.now))
         endOverdue(step, request);
 }
 
--- a/packages/host/src/slots.cpp
+++ b/packages/host/src/slots.cpp
@@ -29,18 +29,18 @@
 /// until every lease of a previous coordinator has expired.
 CoordinatedEngine &coordinatedEngine(Step &step, const Upstream &engine)
 {
-    const auto found = step.state.kept.find(engine.id);
-    if (found != step.state.kept.end()) {
+    const auto found = step.state.coordinatedEngines.find(engine.id);
+    if (found != step.state.coordinatedEngines.end()) {
         found->second.adapters.slots = engine.adapterSlots;
         return found->second;
     }
-    CoordinatedEngine &engineState = step.state.kept[engine.id];
+    CoordinatedEngine &engineState = step.state.coordinatedEngines[engine.id];
     engineState.adapters.slots = engine.adapterSlots;
     engineState.adapters.noEvictionBefore = never;
     engineState.createdAt = step.now;
     if (step.state.coordination.hasAllPromises && mayGrant(step.state, engine, step.now))
         engineState.evictionAllowedFrom = step.now + slotLease;
-    step.actions.emplace_back(AskLoad{ engine.id, engine.address, step.now });
+    step.actions.emplace_back(QueryLoadReport{ engine.id, engine.address, step.now });
     engineState.nextLoadReport = step.now + loadReportInterval;
     return engineState;
 }
@@ -64,7 +64,7 @@
                const WaitingRequest &request)
 {
     GrantedSlot slot;
-    slot.requester = request.asker;
+    slot.requester = request.requester;
     slot.customer = request.customer;
     slot.adapter = request.adapter;
     slot.charged = request.cost;
@@ -130,11 +130,11 @@
 void updateEngine(Step &step, CoordinatedEngine &engineState, const Upstream &engine)
 {
     endBackOffs(engineState.adapters, step.state.charts.adapter, step.now);
-    forgetIdle(engineState.queue);
+    dropIdleCustomers(engineState.queue);
     expireAbandonedUnloads(step, engineState);
-    forgetIdle(engineState.queue);
+    dropIdleCustomers(engineState.queue);
     for (const WaitingRequest &expired : takeExpired(engineState.queue, step.now)) {
-        refuseSlot(step, expired.asker, expired.request, engine.id, ResultCode::WaitedTooLong,
+        refuseSlot(step, expired.requester, expired.request, engine.id, ResultCode::WaitedTooLong,
                    engineState.rounds[expired.request]);
         engineState.rounds.erase(expired.request);
     }
@@ -143,7 +143,7 @@
     orderLoads(step, engineState, engine);
     if (step.now >= engineState.nextLoadReport) {
         engineState.nextLoadReport = step.now + loadReportInterval;
-        step.actions.emplace_back(AskLoad{ engine.id, engine.address, step.now });
+        step.actions.emplace_back(QueryLoadReport{ engine.id, engine.address, step.now });
     }
 }
 
@@ -154,11 +154,11 @@
     newest = std::max(newest, std::pair(incarnation, serial));
 }
 
-std::uint32_t loadsUnderWay(const HostState &state)
+std::uint32_t loadsInFlight(const HostState &state)
 {
     std::uint32_t loads = 0;
-    for (const auto &[id, engineState] : state.kept)
-        loads += azurewell::loadsUnderWay(engineState.adapters);
+    for (const auto &[id, engineState] : state.coordinatedEngines)
+        loads += azurewell::loadsInFlight(engineState.adapters);
     return loads;
 }
 
@@ -169,7 +169,7 @@
         std::uniform_real_distribution<double> jitter(0.0, 1.0);
         beginPacing(state.loadPacer, listedHosts(state), jitter(state.random), step.now);
     }
-    return mayLoad(state.loadPacer, loadsUnderWay(state), step.now);
+    return mayLoad(state.loadPacer, loadsInFlight(state), step.now);
 }
 
 /// Whether \a request is expected to start after its latest start.
@@ -191,7 +191,7 @@
     for (const CustomerQueue &customer : engineState.queue.customers) {
         for (const AdapterQueue &adapter : customer.adapters) {
             for (const WaitingRequest &request : adapter.waiting)
-                refuseSlot(step, request.asker, request.request, engine, ResultCode::SlotLost,
+                refuseSlot(step, request.requester, request.request, engine, ResultCode::SlotLost,
                            engineState.rounds[request.request]);
         }
     }
@@ -214,7 +214,8 @@
     state.coordination.coordinators.clear();
     for (const auto &[id, upstream] : state.inForce.upstreams) {
         const bool isEngine = upstream.kind == UpstreamKind::Engine;
-        if (isEngine && !state.kept.contains(id) && mayGrant(state, upstream, step.now))
+        if (isEngine && !state.coordinatedEngines.contains(id)
+            && mayGrant(state, upstream, step.now))
             coordinatedEngine(step, upstream);
     }
 }
@@ -304,14 +305,14 @@
     }
     WaitingRequest request;
     request.request = ask.request;
-    request.asker = requester;
+    request.requester = requester;
     request.customer = ask.customer;
     request.adapter = ask.adapter;
     request.cost = ask.cost;
     request.weight = ask.weight;
     request.deadline = step.now + ask.untilDeadline;
     request.latestStart = latestStart(engineState.rate, ask.cost, request.deadline);
-    request.since = step.now;
+    request.queuedAt = step.now;
     if (isStartTooLate(step, engineState, *engine, request)) {
         refuseSlot(step, requester, ask.request, ask.engine, ResultCode::DeadlineUnreachable,
                    ask.round);
@@ -375,9 +376,9 @@
 
 void onSlotRelease(Step &step, const HostId &requester, const SlotRelease &release)
 {
-    const auto engineState = step.state.kept.find(release.engine);
+    const auto engineState = step.state.coordinatedEngines.find(release.engine);
     const Upstream *engine = upstreamInForce(step.state, release.engine);
-    if (engineState == step.state.kept.end() || !engine)
+    if (engineState == step.state.coordinatedEngines.end() || !engine)
         return;
     const auto waiting = engineState->second.rounds.find(release.request);
     if (waiting != engineState->second.rounds.end() && waiting->second <= release.round) {
@@ -390,7 +391,7 @@
         const GrantedSlot &granted = slot->second;
         const bool isEnding = granted.nextCancelAt != never;
         if (!isEnding && release.used.count > 0 && granted.grantedAt > Instant{})
-            noteService(engineState->second.rate, granted.charged, step.now - granted.grantedAt);
+            recordSlotTime(engineState->second.rate, granted.charged, step.now - granted.grantedAt);
         if (!isEnding)
             correctCharge(engineState->second.queue, granted.customer, granted.weight,
                           granted.charged, release.used);
@@ -409,7 +410,8 @@
 {
     HostState &state = step.state;
     addCoordinatedEngines(step);
-    for (auto engineState = state.kept.begin(); engineState != state.kept.end();) {
+    for (auto engineState = state.coordinatedEngines.begin();
+         engineState != state.coordinatedEngines.end();) {
         const Upstream *engine = upstreamInForce(state, engineState->first);
         const bool isCoordinator = engine && engineCoordinator(state, *engine) == state.self.id;
         if (!isCoordinator && engineState->second.queue.size > 0)
@@ -417,7 +419,8 @@
         if (engine)
             updateEngine(step, engineState->second, *engine);
         const bool isDropped = !isCoordinator && engineState->second.granted.empty();
-        engineState = isDropped ? state.kept.erase(engineState) : std::next(engineState);
+        engineState = isDropped ? state.coordinatedEngines.erase(engineState)
+                                : std::next(engineState);
     }
 }
 
--- a/packages/host/src/tickets.cpp
+++ b/packages/host/src/tickets.cpp
@@ -68,12 +68,12 @@
     TicketState &tickets = step.state.tickets;
     const bool isKnown = tickets.refused == number && tickets.refusedText == text;
     tickets.refused = number;
-    tickets.refusedWhy = why;
+    tickets.rejectionReason = why;
     tickets.refusedText = text;
     if (isKnown)
         return;
     ++step.state.counters.ticketsRefused;
-    step.actions.emplace_back(TicketNoted{ number, false, why });
+    step.actions.emplace_back(TicketProcessed{ number, false, why });
 }
 
 /// Whether \a ticket may end requests in progress. Most tickets add keys and adapters, which ends
@@ -108,7 +108,7 @@
     addText(log, ticket.number, text);
     while (isOverBound(log))
         eraseText(log, log.texts.begin());
-    step.actions.emplace_back(TicketNoted{ ticket.number, true, {} });
+    step.actions.emplace_back(TicketProcessed{ ticket.number, true, {} });
     return true;
 }
 
@@ -181,7 +181,7 @@
     while (!tickets.pending.texts.empty()
            && tickets.pending.texts.begin()->first <= state.inForce.ticket)
         eraseText(tickets.pending, tickets.pending.texts.begin());
-    step.actions.emplace_back(TicketNoted{ state.inForce.ticket, true, "by snapshot" });
+    step.actions.emplace_back(TicketProcessed{ state.inForce.ticket, true, "by snapshot" });
     onStateInForceChanged(step);
     applyPendingTickets(step);
 }
@@ -343,7 +343,7 @@
 void refuseWaitingWithoutUpdates(Step &step)
 {
     HostState &state = step.state;
-    if (state.requests.empty() || !isWithoutNews(state, step.now))
+    if (state.requests.empty() || !isWithoutUpdates(state, step.now))
         return;
     std::vector<RequestId> waiting;
     for (const auto &[id, record] : state.requests) {
@@ -381,9 +381,9 @@
     return before < ticketReadersPerZone ? Span{} : relayTimeout;
 }
 
-bool isWithoutNews(const HostState &state, Instant now)
+bool isWithoutUpdates(const HostState &state, Instant now)
 {
-    const Span longest = state.inForce.fleet.longestWithoutNews;
+    const Span longest = state.inForce.fleet.maxUpdateAge;
     if (longest <= Span{})
         return false;
     const std::optional<Instant> &lastUpdateAt = state.tickets.lastUpdateAt;
--- a/packages/host/src/upstreams.cpp
+++ b/packages/host/src/upstreams.cpp
@@ -21,15 +21,15 @@
     const HostState &state = step.state;
     const std::uint64_t salt = stableHash(record.arrival.request.value);
     if (record.arrival.kind == RequestKind::ServiceCall) {
-        const RouteAsk ask{ record.arrival.service.value, noAdapter, salt,
-                            record.excludedUpstreams };
+        const RouteRequest ask{ record.arrival.service.value, noAdapter, salt,
+                                record.excludedUpstreams };
         return chooseUpstream(state.routing, ask, step.now);
     }
     const std::optional<AdapterView> adapter = state.inForce.adapters.find(record.arrival.adapter);
     if (!adapter)
         return std::nullopt;
-    const RouteAsk ask{ *adapter->baseModel, record.arrival.adapter, salt,
-                        record.excludedUpstreams };
+    const RouteRequest ask{ *adapter->baseModel, record.arrival.adapter, salt,
+                            record.excludedUpstreams };
     return chooseUpstream(state.routing, ask, step.now);
 }
 
@@ -37,8 +37,8 @@
 {
     uncountRouted(step, record);
     const bool isCall = record.arrival.kind == RequestKind::ServiceCall;
-    noteSent(step.state.routing, record.upstream, isCall ? noAdapter : record.arrival.adapter,
-             step.now);
+    recordSent(step.state.routing, record.upstream, isCall ? noAdapter : record.arrival.adapter,
+               step.now);
     record.isRouted = true;
 }
 
@@ -57,8 +57,8 @@
         return;
     record.isStreamRateRecorded = true;
     const std::optional<Span> held = isWhole ? std::optional<Span>(took) : std::nullopt;
-    notePace(step.state.routing, record.upstream, record.generated - record.resumedFrom, took, held,
-             step.now);
+    recordPace(step.state.routing, record.upstream, record.generated - record.resumedFrom, took,
+               held, step.now);
 }
 
 void setUpstreamState(Step &step, const UpstreamId &id, UpstreamEvent event)
--- a/packages/host/tests/at_most_once_test.cpp
+++ b/packages/host/tests/at_most_once_test.cpp
@@ -1,4 +1,4 @@
-#include "call_world.h"
+#include "call_simulation.h"
 
 #include <gtest/gtest.h>
 
@@ -34,7 +34,7 @@
 {
     std::size_t count = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        CallWorld world(seed, 3, faults);
+        CallSimulation world(seed, 3, faults);
         world.run(steps, busySteps);
         bool isFound = false;
         for (const std::string &found : world.violations)
@@ -50,7 +50,7 @@
 // other faults every call runs exactly once, and every repeat gets its result.
 TEST(AtMostOnce, RepeatsAtAnyHostFindTheFirstRun)
 {
-    CallWorld world(1, 3, noFaults());
+    CallSimulation world(1, 3, noFaults());
     world.run(steps, busySteps);
     EXPECT_TRUE(world.violations.empty());
     EXPECT_EQ(world.calls, 150U);
@@ -71,7 +71,7 @@
 {
     InjectedFaults faults = noFaults();
     faults.noAnswer = 1;
-    CallWorld world(1, 3, faults);
+    CallSimulation world(1, 3, faults);
     world.run(steps, busySteps);
     EXPECT_TRUE(world.violations.empty());
     EXPECT_GT(world.runs, 20U);
@@ -92,7 +92,7 @@
     std::uint64_t calls = 0;
     std::uint64_t unknown = 0;
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
-        CallWorld world(seed, 2 + seed % 3, InjectedFaults{});
+        CallSimulation world(seed, 2 + seed % 3, InjectedFaults{});
         world.run(steps, busySteps);
         ASSERT_TRUE(world.violations.empty()) << "seed " << seed << ": " << world.violations[0];
         runs += world.runs;
--- a/packages/host/tests/call_world.cpp
+++ b/packages/host/tests/call_simulation.cpp
@@ -1,4 +1,4 @@
-#include "call_world.h"
+#include "call_simulation.h"
 
 namespace azurewell::tests {
 
@@ -30,7 +30,8 @@
 
 } // namespace
 
-CallWorld::CallWorld(std::uint64_t seed, std::size_t hostCount, InjectedFaults injectedFaults)
+CallSimulation::CallSimulation(std::uint64_t seed, std::size_t hostCount,
+                               InjectedFaults injectedFaults)
     : random(seed)
     , faults(injectedFaults)
     , hosts(hostCount)
@@ -44,22 +45,22 @@
         this->step();
 }
 
-Instant CallWorld::clockOf(const Host &host) const
+Instant CallSimulation::clockOf(const Host &host) const
 {
     return this->now + host.clockOffset;
 }
 
-bool CallWorld::chance(double part)
+bool CallSimulation::chance(double part)
 {
     return std::uniform_real_distribution<double>(0, 1)(this->random) < part;
 }
 
-Span CallWorld::randomDelay(double maxSeconds)
+Span CallSimulation::randomDelay(double maxSeconds)
 {
     return fromSeconds(std::uniform_real_distribution<double>(0, maxSeconds)(this->random));
 }
 
-void CallWorld::startIncarnation(std::size_t index)
+void CallSimulation::startIncarnation(std::size_t index)
 {
     Host &host = this->hosts[index];
     const Incarnation last = host.state.self.incarnation;
@@ -84,7 +85,7 @@
     this->deliver(index, TicketRead{ ticketText });
 }
 
-void CallWorld::deliver(std::size_t index, const Event &event)
+void CallSimulation::deliver(std::size_t index, const Event &event)
 {
     Host &host = this->hosts[index];
     if (this->now < host.pausedUntil) {
@@ -97,7 +98,7 @@
     this->handleActions(index, actions);
 }
 
-void CallWorld::handleActions(std::size_t index, const std::vector<Action> &actions)
+void CallSimulation::handleActions(std::size_t index, const std::vector<Action> &actions)
 {
     for (const Action &action : actions) {
         if (const SendPeer *message = std::get_if<SendPeer>(&action)) {
@@ -108,9 +109,9 @@
                                 Send{ index, this->hosts[index].state.self.incarnation, *order });
         } else if (const Refuse *refusal = std::get_if<Refuse>(&action)) {
             this->recordRefusal(*refusal);
-        } else if (const AnswerHeld *held = std::get_if<AnswerHeld>(&action)) {
+        } else if (const AnswerFromStore *held = std::get_if<AnswerFromStore>(&action)) {
             this->recordStoredAnswer(*held);
-        } else if (const AnswerNumbers *numbers = std::get_if<AnswerNumbers>(&action)) {
+        } else if (const AnswerCallNumbers *numbers = std::get_if<AnswerCallNumbers>(&action)) {
             this->calls += numbers->numbers.size();
             this->issued.insert(this->issued.end(), numbers->numbers.begin(),
                                 numbers->numbers.end());
@@ -118,7 +119,7 @@
     }
 }
 
-void CallWorld::sendPeer(std::size_t index, const SendPeer &message)
+void CallSimulation::sendPeer(std::size_t index, const SendPeer &message)
 {
     const bool isAboutCalls = std::holds_alternative<PermitAsk>(message.body)
             || std::holds_alternative<PermitReply>(message.body)
@@ -140,7 +141,7 @@
 }
 
 /// Carries a Dispatch out as the traffic thread of the shell does: checks the deadline first.
-void CallWorld::runDispatch(const Send &send)
+void CallSimulation::runDispatch(const Send &send)
 {
     Host &host = this->hosts[send.from];
     if (host.state.self.incarnation != send.incarnation) {
@@ -162,7 +163,7 @@
     this->runAtBackEnd(send);
 }
 
-void CallWorld::runAtBackEnd(const Send &send)
+void CallSimulation::runAtBackEnd(const Send &send)
 {
     const CallNumber number = this->numberOf[send.order.request];
     this->checkPermit(send, number);
@@ -181,7 +182,7 @@
 }
 
 /// If the issuer is still running, the permit must be valid at the moment of sending.
-void CallWorld::checkPermit(const Send &send, const CallNumber &number)
+void CallSimulation::checkPermit(const Send &send, const CallNumber &number)
 {
     const CallNumberParts parts = parseCallNumber(number).value();
     for (const Host &host : this->hosts) {
@@ -199,7 +200,7 @@
     }
 }
 
-void CallWorld::recordRefusal(const Refuse &refusal)
+void CallSimulation::recordRefusal(const Refuse &refusal)
 {
     ++this->refusals[refusal.code];
     const auto number = this->numberOf.find(refusal.request);
@@ -214,7 +215,7 @@
         this->violations.push_back("said ran: " + number->second.value);
 }
 
-void CallWorld::recordStoredAnswer(const AnswerHeld &answer)
+void CallSimulation::recordStoredAnswer(const AnswerFromStore &answer)
 {
     ++this->heldAnswers;
     const CallNumber &number = this->numberOf.at(answer.request);
@@ -222,7 +223,7 @@
         this->violations.push_back("held answer of another call: " + number.value);
 }
 
-void CallWorld::sendCallerRequest(std::size_t index, const CallNumber &number)
+void CallSimulation::sendCallerRequest(std::size_t index, const CallNumber &number)
 {
     RequestArrived event;
     event.request = RequestId{ "r" + std::to_string(this->nextRequest++) };
@@ -237,14 +238,14 @@
 }
 
 /// Callers request numbers, use each at one or two hosts at once, and repeat old ones at any host.
-void CallWorld::simulateCallers()
+void CallSimulation::simulateCallers()
 {
     const std::size_t index = this->random() % this->hosts.size();
     RequestArrived forNumbers;
     forNumbers.request = RequestId{ "n" + std::to_string(this->nextRequest++) };
     forNumbers.kind = RequestKind::CallNumbers;
     forNumbers.key = key;
-    forNumbers.numbers = 1;
+    forNumbers.callNumberCount = 1;
     const std::size_t before = this->issued.size();
     this->deliver(index, forNumbers);
     if (this->issued.size() > before) {
@@ -260,7 +261,7 @@
     }
 }
 
-void CallWorld::injectFaults()
+void CallSimulation::injectFaults()
 {
     for (std::size_t index = 0; index < this->hosts.size(); ++index) {
         if (this->chance(this->faults.suspension))
@@ -272,7 +273,7 @@
     }
 }
 
-void CallWorld::step()
+void CallSimulation::step()
 {
     this->now = this->now + tickInterval;
     while (!this->sends.empty() && this->sends.begin()->first <= this->now) {
@@ -300,7 +301,7 @@
     }
 }
 
-void CallWorld::run(std::size_t steps, std::size_t busy)
+void CallSimulation::run(std::size_t steps, std::size_t busy)
 {
     for (std::size_t index = 0; index < steps; ++index) {
         if (index < busy && index % 10 == 0)
--- a/packages/host/tests/call_world.h
+++ b/packages/host/tests/call_simulation.h
@@ -10,7 +10,7 @@
 
 namespace azurewell::tests {
 
-/// Probabilities (0 to 1) and switches of the faults in a CallWorld.
+/// Probabilities (0 to 1) and switches of the faults in a CallSimulation.
 struct InjectedFaults
 {
     double messageLoss = 0.1;
@@ -27,10 +27,10 @@
 /// Several hosts, a lossy network between them, back ends that count their runs, and callers that
 /// repeat their calls at any host. Time advances in steps of tickInterval. Violations of "at most
 /// once" are collected as text.
-class CallWorld
+class CallSimulation
 {
 public:
-    CallWorld(std::uint64_t seed, std::size_t hosts, InjectedFaults faults);
+    CallSimulation(std::uint64_t seed, std::size_t hosts, InjectedFaults faults);
 
     /// Runs \a steps; callers begin new calls during the first \a busy of them.
     void run(std::size_t steps, std::size_t busy);
@@ -77,7 +77,7 @@
     void runAtBackEnd(const Send &send);
     void checkPermit(const Send &send, const CallNumber &number);
     void recordRefusal(const Refuse &refusal);
-    void recordStoredAnswer(const AnswerHeld &answer);
+    void recordStoredAnswer(const AnswerFromStore &answer);
     void simulateCallers();
     void sendCallerRequest(std::size_t index, const CallNumber &number);
     void injectFaults();
--- a/packages/host/tests/host_shares_test.cpp
+++ b/packages/host/tests/host_shares_test.cpp
@@ -73,7 +73,7 @@
         event.key = KeyHash{ std::string(64, 'a') };
         event.adapter = AdapterRef{ "a@1" };
         event.promptTokens = Tokens{ 10 };
-        event.mostGenerated = Tokens{ tokens - 10 };
+        event.maxGenerated = Tokens{ tokens - 10 };
         event.deadline = this->now + fromSeconds(30);
         this->deliver(host, event);
     }
--- a/packages/host/tests/host_test.cpp
+++ b/packages/host/tests/host_test.cpp
@@ -76,7 +76,7 @@
         event.adapter = AdapterRef{ "a@1" };
         event.service = ServiceId{ "filings" };
         event.promptTokens = Tokens{ 10 };
-        event.mostGenerated = Tokens{ 20 };
+        event.maxGenerated = Tokens{ 20 };
         event.deadline = this->now + fromSeconds(30);
         return event;
     }
@@ -101,7 +101,7 @@
     EXPECT_EQ(fixture.last<Dispatch>()->upstream, UpstreamId{ "e1" });
     fixture.deliver(AttemptEnded{ RequestId{ "r1" }, 1, AttemptOutcome::Done, Tokens{ 20 }, true });
     EXPECT_TRUE(fixture.state.requests.empty());
-    EXPECT_TRUE(fixture.state.kept.at(UpstreamId{ "e1" }).granted.empty());
+    EXPECT_TRUE(fixture.state.coordinatedEngines.at(UpstreamId{ "e1" }).granted.empty());
 }
 
 // A key is withdrawn while a caller's stream runs and another request waits. Both must end at once,
@@ -178,12 +178,12 @@
     fixture.deliver(fixture.request("r1"));
     fixture.deliver(StopAsked{});
     fixture.advanceTime(fromSeconds(1));
-    EXPECT_EQ(fixture.last<LeaveProcess>(), nullptr);
+    EXPECT_EQ(fixture.last<ExitProcess>(), nullptr);
     fixture.deliver(fixture.request("r2"));
     EXPECT_EQ(fixture.last<Refuse>()->code, ResultCode::HostDraining);
     fixture.deliver(AttemptEnded{ RequestId{ "r1" }, 1, AttemptOutcome::Done, Tokens{ 20 }, true });
     fixture.deliver(Tick{});
-    EXPECT_NE(fixture.last<LeaveProcess>(), nullptr);
+    EXPECT_NE(fixture.last<ExitProcess>(), nullptr);
 }
 
 // A host that issued a call number is asked to stop while another host runs the call under its
@@ -198,8 +198,8 @@
     fixture.advanceTime(fromSeconds(2)); // no other host sent a heartbeat
     ASSERT_EQ(fixture.state.process, ProcessState::Serving);
     fixture.deliver(fixture.request("n", RequestKind::CallNumbers));
-    ASSERT_NE(fixture.last<AnswerNumbers>(), nullptr);
-    const CallNumber number = fixture.last<AnswerNumbers>()->numbers.at(0);
+    ASSERT_NE(fixture.last<AnswerCallNumbers>(), nullptr);
+    const CallNumber number = fixture.last<AnswerCallNumbers>()->numbers.at(0);
     const auto ask = [&](const char *request) {
         fixture.deliver(PeerMessageReceived{ PeerMessage{
                 other, Incarnation{ 1 },
@@ -210,7 +210,7 @@
     EXPECT_EQ(ask("first"), PermitVerdict::Granted);
     fixture.deliver(StopAsked{});
     fixture.advanceTime(fromSeconds(3));
-    EXPECT_EQ(fixture.last<LeaveProcess>(), nullptr);
+    EXPECT_EQ(fixture.last<ExitProcess>(), nullptr);
     EXPECT_EQ(ask("repeat"), PermitVerdict::InProgress);
     fixture.deliver(
             PeerMessageReceived{ PeerMessage{ other, Incarnation{ 1 },
@@ -221,5 +221,5 @@
                                                              { 201, "text/plain", "filed" } } } });
     EXPECT_EQ(ask("repeat"), PermitVerdict::Done);
     fixture.deliver(Tick{});
-    EXPECT_NE(fixture.last<LeaveProcess>(), nullptr);
+    EXPECT_NE(fixture.last<ExitProcess>(), nullptr);
 }
--- a/packages/host/tests/tickets_host_test.cpp
+++ b/packages/host/tests/tickets_host_test.cpp
@@ -273,7 +273,7 @@
     EXPECT_TRUE(fleet.isEverywhere(1));
     for (const HostState &host : fleet.hosts) {
         EXPECT_EQ(host.tickets.refused.value, 2U);
-        EXPECT_NE(host.tickets.refusedWhy.find("nobody"), std::string::npos);
+        EXPECT_NE(host.tickets.rejectionReason.find("nobody"), std::string::npos);
         EXPECT_EQ(host.counters.ticketsRefused, 1U) << "the same text counts once";
         EXPECT_FALSE(host.inForce.adapters.contains(AdapterRef{ "good@1" }));
     }
@@ -317,17 +317,17 @@
         fleet.publish({ 0 }, firstTicket(1));
         const std::string setting = R"("fleet": { "longest_without_news": 20 })";
         fleet.publish({ 0 }, isSet ? ticket(2, setting) : newAdapter(2));
-        fleet.deliver(0, PlatformHeard{});
+        fleet.deliver(0, PlatformResponded{});
         fleet.advanceTime(1);
         fleet.disconnected = { 2, 3 };
         fleet.publish({ 0 }, withdrawal(3));
         for (int second = 0; second < 30; ++second) {
-            fleet.deliver(0, PlatformHeard{});
+            fleet.deliver(0, PlatformResponded{});
             fleet.advanceTime(1);
         }
-        EXPECT_FALSE(isWithoutNews(fleet.hosts[1], fleet.now)) << "a peer relays the updates";
+        EXPECT_FALSE(isWithoutUpdates(fleet.hosts[1], fleet.now)) << "a peer relays the updates";
         EXPECT_EQ(fleet.ticketAt(1), 3U);
-        EXPECT_EQ(isWithoutNews(fleet.hosts[2], fleet.now), isSet);
+        EXPECT_EQ(isWithoutUpdates(fleet.hosts[2], fleet.now), isSet);
         RequestArrived request;
         request.request = RequestId{ "r" };
         request.key = key;
@@ -339,7 +339,7 @@
         EXPECT_EQ(fleet.hosts[1].counters.refusals[ResultCode::KeyWithdrawn], 1U);
         fleet.disconnected.clear();
         fleet.advanceTime(2);
-        EXPECT_FALSE(isWithoutNews(fleet.hosts[2], fleet.now));
+        EXPECT_FALSE(isWithoutUpdates(fleet.hosts[2], fleet.now));
         EXPECT_EQ(fleet.ticketAt(2), 3U);
     }
 }
@@ -352,7 +352,7 @@
     StateInForce published;
     applyTicket(published, parseTicket(firstTicket(2500)).value()).value();
     published.ticket = TicketNumber{ 700 };
-    published.fleet.longestWithoutNews = fromSeconds(77);
+    published.fleet.maxUpdateAge = fromSeconds(77);
     Fleet alone(1);
     for (std::uint32_t segment = 0; segment < segmentCount(published); ++segment) {
         EXPECT_EQ(alone.hosts[0].process, ProcessState::Starting);
@@ -361,7 +361,7 @@
     alone.publish({ 0 }, newAdapter(701));
     EXPECT_EQ(alone.ticketAt(0), 701U);
     EXPECT_EQ(alone.hosts[0].inForce.adapters.size(), 2501U);
-    EXPECT_EQ(alone.hosts[0].inForce.fleet.longestWithoutNews, fromSeconds(77));
+    EXPECT_EQ(alone.hosts[0].inForce.fleet.maxUpdateAge, fromSeconds(77));
     EXPECT_TRUE(customerOf(alone.hosts[0].inForce, key));
 
     Fleet fleet(2);
--- a/packages/http/include/azurewell/http/caller_connection.h
+++ b/packages/http/include/azurewell/http/caller_connection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "azurewell/http/readers.h"
+#include "azurewell/http/message_readers.h"
 #include "azurewell/http/tcp_stream.h"
 #include "azurewell/units/time.h"
 
--- a/packages/http/src/readers.cpp
+++ b/packages/http/src/message_readers.cpp
@@ -1,4 +1,4 @@
-#include "azurewell/http/readers.h"
+#include "azurewell/http/message_readers.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/http/parser.hpp>
--- a/packages/limits/include/azurewell/limits/loan_wallet.h
+++ b/packages/limits/include/azurewell/limits/loan_account.h
@@ -11,7 +11,7 @@
 struct BorrowerAccount
 {
     SeatId seat;
-    HostLife lender;
+    HostIncarnation lender;
     Tokens available;      ///< Borrowed and not reserved by any request.
     Tokens reserved;       ///< Reserved by admitted requests and not yet generated.
     Instant usableUntil;   ///< `available` must not be reserved after this.
--- a/packages/limits/include/azurewell/limits/share_part.h
+++ b/packages/limits/include/azurewell/limits/owned_share.h
@@ -34,7 +34,7 @@
 struct OwnedShare
 {
     TokenBucket bucket;
-    std::map<HostLife, LenderAccount> loans;
+    std::map<HostIncarnation, LenderAccount> loans;
     double formerLoans = 0; ///< Tokens kept reserved for loans of former incarnations.
     Instant formerLoansEndAt;
     std::vector<ShareSize> sizes; ///< Newest last; the smallest is in force.
@@ -49,8 +49,8 @@
 
 /// Lends for \a ask, keeping \a withheld for the owner's own requests. Returns the amount: the same
 /// again for a duplicate request, zero for one that arrives after a newer one.
-Tokens lend(OwnedShare &share, const HostLife &borrower, const ShareAsk &ask, Tokens withheld,
-            const ShareSettings &settings, Instant now);
+Tokens lend(OwnedShare &share, const HostIncarnation &borrower, const ShareAsk &ask,
+            Tokens withheld, const ShareSettings &settings, Instant now);
 
 /// Frees the capacity of loans whose tokens can no longer be generated.
 void writeOffLoans(OwnedShare &share, Instant now);
--- a/packages/limits/include/azurewell/limits/share_holder.h
+++ b/packages/limits/include/azurewell/limits/rate_shares.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "azurewell/limits/loan_wallet.h"
-#include "azurewell/limits/share_part.h"
+#include "azurewell/limits/loan_account.h"
+#include "azurewell/limits/owned_share.h"
 
 #include <deque>
 #include <optional>
@@ -21,7 +21,7 @@
 /// What this host knows of another host ordinal.
 struct SeatView
 {
-    HostLife occupant;                                ///< The newest incarnation seen.
+    HostIncarnation occupant;                         ///< The newest incarnation seen.
     Instant reachableUntil;                           ///< Counted as unreachable after this.
     TicketNumber settled;                             ///< From its newest statement.
     std::optional<std::uint64_t> lastStatementSerial; ///< Serial of the query it last answered.
@@ -32,8 +32,8 @@
 {
     ShareTerms terms;
     std::vector<SeatShare> owners; ///< From the newest ticket.
-    OwnedShare part;
-    std::map<HostLife, BorrowerAccount> accounts; ///< By lender.
+    OwnedShare ownedShare;
+    std::map<HostIncarnation, BorrowerAccount> accounts; ///< By lender.
     Tokens waiting;    ///< Cost of the requests that wait for tokens at this host.
     double demand = 0; ///< Tokens reserved per second, with exponential decay.
     Instant demandAt;  ///< When `demand` was last updated.
@@ -42,7 +42,7 @@
 /// Where a request's tokens came from. An empty lender stands for the host's own share.
 struct ReservationSource
 {
-    HostLife lender;
+    HostIncarnation lender;
     Tokens amount; ///< Not yet generated.
 };
 
@@ -63,23 +63,24 @@
 /// Counters for operators.
 struct ShareCounters
 {
-    std::uint64_t asks = 0;        ///< Requests sent to lenders.
-    std::uint64_t grants = 0;      ///< Received with tokens.
-    std::uint64_t emptyGrants = 0; ///< Received without tokens.
-    std::uint64_t lateGrants = 0;  ///< Dropped as late or duplicate.
+    std::uint64_t requestsSent = 0; ///< Requests sent to lenders.
+    std::uint64_t grants = 0;       ///< Received with tokens.
+    std::uint64_t emptyGrants = 0;  ///< Received without tokens.
+    std::uint64_t lateGrants = 0;   ///< Dropped as late or duplicate.
     std::uint64_t borrowedTokens = 0;
     std::uint64_t lentTokens = 0;
-    std::uint64_t distrusted = 0;  ///< Pauses after which this host had to confirm its ordinal.
-    std::uint64_t overdueRuns = 0; ///< Requests ended because their lent tokens expired.
+    std::uint64_t unconfirmedPauses
+            = 0;                       ///< Pauses after which this host had to confirm its ordinal.
+    std::uint64_t overdueRequests = 0; ///< Requests ended because their lent tokens expired.
 };
 
 /// All customers' shares at one host. Reads no clock: every function takes the time.
-struct ShareHolder
+struct RateShares
 {
     ShareSettings settings;
     SeatWeight weight = nullptr;
     SeatId seat;
-    HostLife self;
+    HostIncarnation self;
     ZoneSeats zones;
     TicketNumber ticket;
     /// The first ticket that this host applied. A host that starts from a snapshot does not know
@@ -109,54 +110,55 @@
     ShareCounters counters;
 };
 
-ShareHolder makeShareHolder(SeatId seat, HostLife self, SeatWeight weight, ShareSettings settings);
+RateShares makeRateShares(SeatId seat, HostIncarnation self, SeatWeight weight,
+                          ShareSettings settings);
 
 /// Detects pauses of this process; call it before any other function at a new time. After a pause
 /// the host admits nothing until another host confirms its ordinal.
-void noteTime(ShareHolder &state, Instant now);
+void detectPause(RateShares &state, Instant now);
 
 /// Applies the terms of \a ticket. \a terms lists all customers.
-void setTerms(ShareHolder &state, TicketNumber ticket, const ZoneSeats &zones,
+void setTerms(RateShares &state, TicketNumber ticket, const ZoneSeats &zones,
               const std::vector<ShareTerms> &terms, Instant now);
 
 /// Records contact with \a occupant of \a seat. It counts as unreachable after \a lateness or the
 /// settings' reachability timeout, whichever is longer: in a large fleet hosts of other zones send
 /// less often.
-void noteSeat(ShareHolder &state, const SeatId &seat, const HostLife &occupant, Instant now,
-              Span lateness = {});
+void recordContact(RateShares &state, const SeatId &seat, const HostIncarnation &occupant,
+                   Instant now, Span lateness = {});
 
 /// Reserves \a cost for \a request from borrowed tokens and the host's own share. Returns false and
 /// reserves nothing if they don't suffice.
-bool reserve(ShareHolder &state, const RequestId &request, const CustomerId &customer, Tokens cost,
+bool reserve(RateShares &state, const RequestId &request, const CustomerId &customer, Tokens cost,
              Instant now);
 
 /// Counts \a amount of the request's tokens as generated.
-void settle(ShareHolder &state, const RequestId &request, Tokens amount, Instant now);
+void settle(RateShares &state, const RequestId &request, Tokens amount, Instant now);
 
 /// Releases the rest of the request's tokens.
-void release(ShareHolder &state, const RequestId &request, Instant now);
+void release(RateShares &state, const RequestId &request, Instant now);
 
 /// When tokens for \a cost are expected, after those for the requests that already wait, from what
 /// the owners last reported; `never` if no reachable share earns any.
-Instant expectedAt(const ShareHolder &state, const CustomerId &customer, Tokens cost, Instant now);
+Instant expectedAt(const RateShares &state, const CustomerId &customer, Tokens cost, Instant now);
 
 /// The largest request of \a customer that this host can ever admit: its own share, and what one
 /// borrower may hold of the others.
-Tokens largestRequest(const ShareHolder &state, const CustomerId &customer);
+Tokens largestRequest(const RateShares &state, const CustomerId &customer);
 
 /// Sets \a waiting as the total cost of \a customer's waiting requests, and requests the missing
 /// tokens from lenders.
-void seekTokens(ShareHolder &state, const CustomerId &customer, Tokens waiting, Instant now,
-                std::vector<ShareOutgoing> &out);
+void requestTokens(RateShares &state, const CustomerId &customer, Tokens waiting, Instant now,
+                   std::vector<ShareOutgoing> &out);
 
 /// Performs due work: reports, returns of surplus, queries, write-off of expired loans.
-void tendShares(ShareHolder &state, Instant now, std::vector<ShareOutgoing> &out);
+void pollShares(RateShares &state, Instant now, std::vector<ShareOutgoing> &out);
 
 /// Requests whose lent tokens have expired; each is returned once.
-std::vector<RequestId> takeOverdue(ShareHolder &state, Instant now);
+std::vector<RequestId> takeOverdueRequests(RateShares &state, Instant now);
 
 /// Handles a message of another host. Returns the customer whose waiting requests may be retried.
-std::optional<CustomerId> onShareMessage(ShareHolder &state, const HostLife &sender,
+std::optional<CustomerId> onShareMessage(RateShares &state, const HostIncarnation &sender,
                                          const ShareBody &body, Instant now,
                                          std::vector<ShareOutgoing> &out);
 
--- a/packages/limits/include/azurewell/limits/share_layout.h
+++ b/packages/limits/include/azurewell/limits/share_layout.h
@@ -28,7 +28,7 @@
     /// more fragments and messages, fewer lose more of the rate while one is replaced. At 60 hosts
     /// in nine zones 27 owners cost 21.4 KB/s a node and 9 cost 14.2 (benchmark rate_shares, one
     /// customer at five times its rate), with no wrongful refusal either way.
-    std::uint32_t mostOwners = 9;
+    std::uint32_t maxOwners = 9;
     /// A share's burst is not divided below this many tokens, about two requests.
     double minShareTokens = 2048;
 };
--- a/packages/limits/include/azurewell/limits/share_messages.h
+++ b/packages/limits/include/azurewell/limits/share_messages.h
@@ -21,12 +21,12 @@
 };
 
 /// One incarnation of a host. A restarted or replaced host is a new one, without any state.
-struct HostLife
+struct HostIncarnation
 {
     HostId host;
     Incarnation incarnation;
 
-    auto operator<=>(const HostLife &) const = default;
+    auto operator<=>(const HostIncarnation &) const = default;
 };
 
 /// A borrower's account with one lender for one customer. All fields are totals that only rise, so
--- a/packages/limits/include/azurewell/limits/share_settings.h
+++ b/packages/limits/include/azurewell/limits/share_settings.h
@@ -31,7 +31,7 @@
     /// for each ordinal whose statement is missing, so this is also the cost of a missing
     /// statement. With all traffic at one host a customer at five times its rate gets 0.82 of it at
     /// 0.5, 0.87 at 0.75 and 0.88 at 1 (benchmark rate_shares, vigia-7).
-    double mostPerBorrower = 0.75;
+    double maxFractionPerBorrower = 0.75;
     /// A request without an answer is abandoned after this; a later grant is dropped.
     Span requestTimeout = fromSeconds(0.3);
     /// Delay before the next request to a lender that granted less than requested.
@@ -49,7 +49,7 @@
     Span reportInterval = fromSeconds(0.25);
     /// A host from which nothing was received for this long counts as unreachable and is sent no
     /// requests.
-    Span silence = fromSeconds(2);
+    Span reachableTimeout = fromSeconds(2);
     /// A gap of more than this between two events means that the process was paused: a successor
     /// may have taken its ordinal.
     Span pauseThreshold = fromSeconds(0.5);
--- a/packages/limits/src/loan_wallet.cpp
+++ b/packages/limits/src/loan_account.cpp
@@ -1,4 +1,4 @@
-#include "azurewell/limits/loan_wallet.h"
+#include "azurewell/limits/loan_account.h"
 
 #include <algorithm>
 
--- a/packages/limits/src/share_part.cpp
+++ b/packages/limits/src/owned_share.cpp
@@ -1,4 +1,4 @@
-#include "azurewell/limits/share_part.h"
+#include "azurewell/limits/owned_share.h"
 
 #include <algorithm>
 
@@ -14,7 +14,8 @@
 
 /// The account of \a borrower. The first report is the baseline: what it lists as lent earlier has
 /// been written off.
-LenderAccount &accountOf(OwnedShare &share, const HostLife &borrower, const LoanReport &report)
+LenderAccount &accountOf(OwnedShare &share, const HostIncarnation &borrower,
+                         const LoanReport &report)
 {
     const auto [found, isNew] = share.loans.try_emplace(borrower);
     if (isNew)
@@ -26,7 +27,7 @@
                 const ShareSettings &settings, Instant now)
 {
     refill(share.bucket, now);
-    const double limit = share.bucket.burst * settings.mostPerBorrower;
+    const double limit = share.bucket.burst * settings.maxFractionPerBorrower;
     const double byBorrower = limit - static_cast<double>(outstandingOf(account).count);
     const double byLevel = share.bucket.level - static_cast<double>(withheld.count);
     return Tokens{ static_cast<std::int64_t>(std::max(0.0, std::min(byBorrower, byLevel))) };
@@ -62,8 +63,8 @@
     known.returned = std::max(known.returned, report.returned);
 }
 
-Tokens lend(OwnedShare &share, const HostLife &borrower, const ShareAsk &ask, Tokens withheld,
-            const ShareSettings &settings, Instant now)
+Tokens lend(OwnedShare &share, const HostIncarnation &borrower, const ShareAsk &ask,
+            Tokens withheld, const ShareSettings &settings, Instant now)
 {
     LenderAccount &account = accountOf(share, borrower, ask.report);
     applyReport(share, account, ask.report, now);
--- a/packages/limits/src/share_holder.cpp
+++ b/packages/limits/src/rate_shares.cpp
@@ -1,4 +1,4 @@
-#include "azurewell/limits/share_holder.h"
+#include "azurewell/limits/rate_shares.h"
 
 #include "share_internal.h"
 
@@ -12,34 +12,34 @@
 namespace {
 
 /// Initializes a share: empty, with tokens reserved for what former incarnations may have lent.
-void initShare(const ShareHolder &state, CustomerShares &shares, Instant now)
+void initShare(const RateShares &state, CustomerShares &shares, Instant now)
 {
-    TokenBucket &bucket = shares.part.bucket;
+    TokenBucket &bucket = shares.ownedShare.bucket;
     bucket.refilledAt = std::max(now, state.earningStartsAt.value_or(now));
     if (state.settings.faults.newShareIsFull)
         bucket.level = bucket.burst;
     if (state.settings.faults.forgetsFormerLoans || state.hasAllStatements)
         return;
     const double others = static_cast<double>(totalSeats(state)) - 1;
-    const double maxFraction = std::min(1.0, others * state.settings.mostPerBorrower);
-    shares.part.formerLoans = bucket.burst * maxFraction;
-    bucket.reserved += shares.part.formerLoans;
+    const double maxFraction = std::min(1.0, others * state.settings.maxFractionPerBorrower);
+    shares.ownedShare.formerLoans = bucket.burst * maxFraction;
+    bucket.reserved += shares.ownedShare.formerLoans;
     const Span hold = state.settings.lease + state.settings.maxLentRunTime;
-    shares.part.formerLoansEndAt = now + hold
+    shares.ownedShare.formerLoansEndAt = now + hold
             + fromSeconds(toSeconds(hold) * state.settings.clockDrift);
 }
 
-void applyTerms(ShareHolder &state, CustomerShares &shares, const ShareTerms &terms, Instant now)
+void applyTerms(RateShares &state, CustomerShares &shares, const ShareTerms &terms, Instant now)
 {
-    const bool isNew = shares.part.sizes.empty();
+    const bool isNew = shares.ownedShare.sizes.empty();
     shares.terms = terms;
     shares.owners = ownersOf(state.zones, terms.customer, terms.burst, state.settings.layout,
                              state.weight);
     const double fraction = fractionOf(shares.owners, state.seat);
-    if (isNew || shares.part.sizes.back().fraction != fraction)
-        shares.part.sizes.push_back(ShareSize{ state.ticket, fraction });
+    if (isNew || shares.ownedShare.sizes.back().fraction != fraction)
+        shares.ownedShare.sizes.push_back(ShareSize{ state.ticket, fraction });
     if (isNew)
-        shares.part.bucket.refilledAt = std::max(now, state.earningStartsAt.value_or(now));
+        shares.ownedShare.bucket.refilledAt = std::max(now, state.earningStartsAt.value_or(now));
     resizeShare(state, shares, now);
     if (isNew)
         initShare(state, shares, now);
@@ -64,9 +64,10 @@
 
 } // namespace
 
-ShareHolder makeShareHolder(SeatId seat, HostLife self, SeatWeight weight, ShareSettings settings)
+RateShares makeRateShares(SeatId seat, HostIncarnation self, SeatWeight weight,
+                          ShareSettings settings)
 {
-    ShareHolder state;
+    RateShares state;
     state.settings = settings;
     state.weight = weight;
     state.seat = std::move(seat);
@@ -74,7 +75,7 @@
     return state;
 }
 
-void noteTime(ShareHolder &state, Instant now)
+void detectPause(RateShares &state, Instant now)
 {
     if (!state.earningStartsAt) {
         state.earningStartsAt = now + state.settings.takeoverDelay;
@@ -89,13 +90,13 @@
     state.minConfirmingSerial = state.querySerial + 1;
     state.mutualDoubtDeadline = now + state.settings.mutualDoubtTimeout;
     state.nextQueryAt = now;
-    ++state.counters.distrusted;
+    ++state.counters.unconfirmedPauses;
 }
 
-void setTerms(ShareHolder &state, TicketNumber ticket, const ZoneSeats &zones,
+void setTerms(RateShares &state, TicketNumber ticket, const ZoneSeats &zones,
               const std::vector<ShareTerms> &terms, Instant now)
 {
-    noteTime(state, now);
+    detectPause(state, now);
     const bool isSameLayout = state.zones == zones;
     state.zones = zones;
     state.ticket = ticket;
@@ -105,7 +106,7 @@
         listed.insert(entry.customer);
         CustomerShares &shares = state.customers[entry.customer];
         const bool isSame = shares.terms.ratePerSecond == entry.ratePerSecond
-                && shares.terms.burst == entry.burst && !shares.part.sizes.empty();
+                && shares.terms.burst == entry.burst && !shares.ownedShare.sizes.empty();
         if (!isSame || !isSameLayout)
             applyTerms(state, shares, entry, now);
     }
@@ -118,8 +119,8 @@
     limitFormerLoansByStatements(state, now);
 }
 
-void noteSeat(ShareHolder &state, const SeatId &seat, const HostLife &occupant, Instant now,
-              Span lateness)
+void recordContact(RateShares &state, const SeatId &seat, const HostIncarnation &occupant,
+                   Instant now, Span lateness)
 {
     if (seat == state.seat) {
         state.isSuperseded = state.isSuperseded || occupant.incarnation > state.self.incarnation;
@@ -129,10 +130,10 @@
     if (occupant.incarnation < view.occupant.incarnation)
         return;
     view.reachableUntil = std::max(view.reachableUntil,
-                                   now + std::max(state.settings.silence, lateness));
+                                   now + std::max(state.settings.reachableTimeout, lateness));
     if (occupant == view.occupant)
         return;
-    const HostLife former = view.occupant;
+    const HostIncarnation former = view.occupant;
     view.occupant = occupant;
     view.lastStatementSerial.reset();
     for (auto &[id, shares] : state.customers) {
@@ -141,19 +142,19 @@
             returnSurplus(account->second, account->second.available);
         // The platform terminates a host before it starts a successor, and one that was only paused
         // stops when it resumes: its loans cannot be generated any more.
-        const auto loan = shares.part.loans.find(former);
-        if (loan != shares.part.loans.end())
+        const auto loan = shares.ownedShare.loans.find(former);
+        if (loan != shares.ownedShare.loans.end())
             loan->second.endsAt = std::min(loan->second.endsAt, now + state.settings.takeoverDelay);
     }
 }
 
-bool reserve(ShareHolder &state, const RequestId &request, const CustomerId &customer, Tokens cost,
+bool reserve(RateShares &state, const RequestId &request, const CustomerId &customer, Tokens cost,
              Instant now)
 {
     CustomerShares *shares = find(state, customer);
     if (!shares || !state.isTrusted || state.isSuperseded)
         return false;
-    refill(shares->part.bucket, now);
+    refill(shares->ownedShare.bucket, now);
     if (availableNow(*shares, now) < static_cast<double>(cost.count))
         return false;
     Reservation reservation;
@@ -161,9 +162,9 @@
     const Tokens borrowed = reserveBorrowed(*shares, cost, now, reservation);
     const Tokens own = cost - borrowed;
     if (own.count > 0)
-        tryReserve(shares->part.bucket, own, now);
+        tryReserve(shares->ownedShare.bucket, own, now);
     if (own.count > 0)
-        reservation.sources.push_back(ReservationSource{ HostLife{}, own });
+        reservation.sources.push_back(ReservationSource{ HostIncarnation{}, own });
     if (borrowed.count > 0)
         state.lentRequests.push_back(LentRequest{ now + state.settings.maxLentRunTime, request });
     state.reservations[request] = std::move(reservation);
@@ -173,7 +174,7 @@
     return true;
 }
 
-void settle(ShareHolder &state, const RequestId &request, Tokens amount, Instant now)
+void settle(RateShares &state, const RequestId &request, Tokens amount, Instant now)
 {
     const auto found = state.reservations.find(request);
     if (found == state.reservations.end())
@@ -186,7 +187,7 @@
         source.amount -= generated;
         amount -= generated;
         if (source.lender.host.value.empty()) {
-            settle(shares->part.bucket, generated, now);
+            settle(shares->ownedShare.bucket, generated, now);
             continue;
         }
         BorrowerAccount &account = shares->accounts[source.lender];
@@ -195,7 +196,7 @@
     }
 }
 
-void release(ShareHolder &state, const RequestId &request, Instant now)
+void release(RateShares &state, const RequestId &request, Instant now)
 {
     const auto found = state.reservations.find(request);
     if (found == state.reservations.end())
@@ -205,7 +206,7 @@
         if (!shares || source.amount.count <= 0)
             continue;
         if (source.lender.host.value.empty()) {
-            giveBack(shares->part.bucket, source.amount, now);
+            giveBack(shares->ownedShare.bucket, source.amount, now);
             continue;
         }
         BorrowerAccount &account = shares->accounts[source.lender];
@@ -216,7 +217,7 @@
     state.reservations.erase(found);
 }
 
-std::vector<RequestId> takeOverdue(ShareHolder &state, Instant now)
+std::vector<RequestId> takeOverdueRequests(RateShares &state, Instant now)
 {
     std::vector<RequestId> overdue;
     while (!state.lentRequests.empty() && state.lentRequests.front().endsAt <= now) {
@@ -224,7 +225,7 @@
             overdue.push_back(state.lentRequests.front().request);
         state.lentRequests.pop_front();
     }
-    state.counters.overdueRuns += overdue.size();
+    state.counters.overdueRequests += overdue.size();
     return overdue;
 }
 
--- a/packages/limits/src/share_demand.cpp
+++ b/packages/limits/src/share_demand.cpp
@@ -9,7 +9,7 @@
 
 namespace shares {
 
-std::uint32_t totalSeats(const ShareHolder &state)
+std::uint32_t totalSeats(const RateShares &state)
 {
     std::uint32_t total = 0;
     for (const auto &[zone, count] : state.zones)
@@ -17,13 +17,13 @@
     return total;
 }
 
-CustomerShares *find(ShareHolder &state, const CustomerId &customer)
+CustomerShares *find(RateShares &state, const CustomerId &customer)
 {
     const auto found = state.customers.find(customer);
     return found == state.customers.end() ? nullptr : &found->second;
 }
 
-const SeatView *reachable(const ShareHolder &state, const SeatId &seat, Instant now)
+const SeatView *reachable(const RateShares &state, const SeatId &seat, Instant now)
 {
     const auto found = state.seats.find(seat);
     const bool isReachable = found != state.seats.end() && now < found->second.reachableUntil;
@@ -44,7 +44,7 @@
     for (const auto &[lender, account] : shares.accounts)
         usable += account.usableUntil > now ? account.available : Tokens{};
     // Whole tokens only: a reservation can't be split below one token.
-    return std::floor(shares.part.bucket.level) + static_cast<double>(usable.count);
+    return std::floor(shares.ownedShare.bucket.level) + static_cast<double>(usable.count);
 }
 
 void decayDemand(CustomerShares &shares, const ShareSettings &settings, Instant now)
@@ -56,7 +56,7 @@
     shares.demandAt = now;
 }
 
-double expectedLevel(const ShareHolder &state, const CustomerShares &shares, const SeatShare &share,
+double expectedLevel(const RateShares &state, const CustomerShares &shares, const SeatShare &share,
                      Instant now)
 {
     const SeatView *view = reachable(state, share.seat, now);
@@ -84,7 +84,7 @@
 
 /// Reachable owners, fullest first: a full share earns nothing, so that draining only the shares of
 /// the own zone would lose the rate of the others.
-std::vector<const SeatShare *> lendersFor(const ShareHolder &state, const CustomerShares &shares,
+std::vector<const SeatShare *> lendersFor(const RateShares &state, const CustomerShares &shares,
                                           Instant now)
 {
     std::vector<std::pair<double, const SeatShare *>> ranked;
@@ -119,7 +119,7 @@
     return waiting + ahead - held;
 }
 
-void requestFromLenders(ShareHolder &state, CustomerShares &shares, Instant now,
+void requestFromLenders(RateShares &state, CustomerShares &shares, Instant now,
                         std::vector<ShareOutgoing> &out)
 {
     double lacking = shortageOf(shares, state.settings, now);
@@ -128,13 +128,14 @@
     for (const SeatShare *share : lendersFor(state, shares, now)) {
         if (lacking < 1)
             return;
-        const HostLife lender = state.seats.at(share->seat).occupant;
+        const HostIncarnation lender = state.seats.at(share->seat).occupant;
         BorrowerAccount &account = shares.accounts[lender];
         account.seat = share->seat;
         account.lender = lender;
         if (account.requested.count > 0 || now < account.nextRequestAt)
             continue;
-        const double limit = shares.terms.burst * share->fraction * state.settings.mostPerBorrower;
+        const double limit = shares.terms.burst * share->fraction
+                * state.settings.maxFractionPerBorrower;
         const double expected = expectedLevel(state, shares, *share, now);
         // Other borrowers' returns there are unknown here, so a small request is sent in any case.
         const double wanted = std::min(
@@ -145,7 +146,7 @@
         out.push_back(ShareOutgoing{
                 lender.host,
                 openRequest(account, shares.terms.customer, amount, state.settings, now) });
-        ++state.counters.asks;
+        ++state.counters.requestsSent;
         lacking -= wanted;
     }
 }
@@ -167,7 +168,7 @@
 }
 
 /// Whether the account has nothing left to use or to report.
-bool isRemovable(const ShareHolder &state, const BorrowerAccount &account, Instant now)
+bool isRemovable(const RateShares &state, const BorrowerAccount &account, Instant now)
 {
     const auto view = state.seats.find(account.seat);
     const bool isFormer = view == state.seats.end() || view->second.occupant != account.lender;
@@ -178,7 +179,7 @@
             && (isFormer || account.requestSentAt + memory + memory < now);
 }
 
-void pollAccounts(ShareHolder &state, CustomerShares &shares, Instant now,
+void pollAccounts(RateShares &state, CustomerShares &shares, Instant now,
                   std::vector<ShareOutgoing> &out)
 {
     for (auto &[lender, account] : shares.accounts) {
@@ -199,14 +200,14 @@
 
 } // namespace
 
-Instant expectedAt(const ShareHolder &state, const CustomerId &customer, Tokens cost, Instant now)
+Instant expectedAt(const RateShares &state, const CustomerId &customer, Tokens cost, Instant now)
 {
     const auto found = state.customers.find(customer);
     if (found == state.customers.end())
         return never;
     const CustomerShares &shares = found->second;
     double held = availableNow(shares, now);
-    double rate = shares.part.bucket.ratePerSecond;
+    double rate = shares.ownedShare.bucket.ratePerSecond;
     for (const SeatShare &share : shares.owners) {
         if (share.seat == state.seat || !reachable(state, share.seat, now))
             continue;
@@ -219,18 +220,18 @@
     return rate > 0 ? now + fromSeconds(lacking / rate) + Span{ 1 } : never;
 }
 
-Tokens largestRequest(const ShareHolder &state, const CustomerId &customer)
+Tokens largestRequest(const RateShares &state, const CustomerId &customer)
 {
     const auto found = state.customers.find(customer);
     if (found == state.customers.end())
         return Tokens{};
     const double own = fractionOf(found->second.owners, state.seat);
-    const double reach = own + (1 - own) * state.settings.mostPerBorrower;
+    const double reach = own + (1 - own) * state.settings.maxFractionPerBorrower;
     return Tokens{ static_cast<std::int64_t>(found->second.terms.burst * reach) };
 }
 
-void seekTokens(ShareHolder &state, const CustomerId &customer, Tokens waiting, Instant now,
-                std::vector<ShareOutgoing> &out)
+void requestTokens(RateShares &state, const CustomerId &customer, Tokens waiting, Instant now,
+                   std::vector<ShareOutgoing> &out)
 {
     CustomerShares *shares = find(state, customer);
     if (!shares)
@@ -239,19 +240,19 @@
     state.active.insert(customer);
     if (!state.isTrusted || state.isSuperseded)
         return;
-    refill(shares->part.bucket, now);
+    refill(shares->ownedShare.bucket, now);
     requestFromLenders(state, *shares, now, out);
 }
 
-void tendShares(ShareHolder &state, Instant now, std::vector<ShareOutgoing> &out)
+void pollShares(RateShares &state, Instant now, std::vector<ShareOutgoing> &out)
 {
-    noteTime(state, now);
+    detectPause(state, now);
     for (auto id = state.active.begin(); id != state.active.end();) {
         CustomerShares *shares = find(state, *id);
         if (shares) {
             decayDemand(*shares, state.settings, now);
             pollAccounts(state, *shares, now, out);
-            seekTokens(state, *id, shares->waiting, now, out);
+            requestTokens(state, *id, shares->waiting, now, out);
         }
         const bool isIdle = !shares || (shares->accounts.empty() && shares->waiting.count == 0);
         id = isIdle ? state.active.erase(id) : std::next(id);
@@ -262,7 +263,7 @@
         return;
     state.nextQueryAt = now + state.settings.queryInterval;
     for (auto &[id, shares] : state.customers)
-        writeOffLoans(shares.part, now);
+        writeOffLoans(shares.ownedShare, now);
     growShares(state, now);
     sendQueries(state, out);
 }
--- a/packages/limits/src/share_exchange.cpp
+++ b/packages/limits/src/share_exchange.cpp
@@ -9,26 +9,26 @@
 
 namespace shares {
 
-void resizeShare(const ShareHolder &state, CustomerShares &shares, Instant now)
+void resizeShare(const RateShares &state, CustomerShares &shares, Instant now)
 {
-    const std::vector<ShareSize> &sizes = shares.part.sizes;
+    const std::vector<ShareSize> &sizes = shares.ownedShare.sizes;
     const double fraction = state.settings.faults.growsSharesAtOnce && !sizes.empty()
             ? sizes.back().fraction
-            : effectiveFraction(shares.part);
+            : effectiveFraction(shares.ownedShare);
     const double earned = 1.0 - state.settings.earningMargin;
-    reshape(shares.part.bucket, shares.terms.ratePerSecond * fraction * earned,
+    reshape(shares.ownedShare.bucket, shares.terms.ratePerSecond * fraction * earned,
             shares.terms.burst * fraction, now);
 }
 
 /// Whether \a seat has stated its former loans and settled this host's first ticket.
-bool hasStatement(const ShareHolder &state, const SeatId &seat)
+bool hasStatement(const RateShares &state, const SeatId &seat)
 {
     const auto view = state.seats.find(seat);
     return view != state.seats.end() && state.statedLoans.contains(seat)
             && view->second.settled >= state.firstTicket.value_or(TicketNumber{});
 }
 
-void limitFormerLoansByStatements(ShareHolder &state, Instant now)
+void limitFormerLoansByStatements(RateShares &state, Instant now)
 {
     double missing = 0;
     for (const auto &[zone, count] : state.zones) {
@@ -44,12 +44,12 @@
             stated[loan.customer] += static_cast<double>(loan.amount.count);
     }
     for (auto &[id, shares] : state.customers) {
-        const double limit = shares.part.bucket.burst * state.settings.mostPerBorrower;
-        limitFormerLoans(shares.part, limit * missing + stated[id], now);
+        const double limit = shares.ownedShare.bucket.burst * state.settings.maxFractionPerBorrower;
+        limitFormerLoans(shares.ownedShare, limit * missing + stated[id], now);
     }
 }
 
-void growShares(ShareHolder &state, Instant now)
+void growShares(RateShares &state, Instant now)
 {
     TicketNumber settledEverywhere = state.ticket;
     for (const auto &[zone, count] : state.zones) {
@@ -68,17 +68,17 @@
             settledEverywhere = std::min(settledEverywhere, view.settled);
     }
     for (auto &[id, shares] : state.customers) {
-        if (shares.part.sizes.size() < 2)
+        if (shares.ownedShare.sizes.size() < 2)
             continue;
-        pruneSizes(shares.part, settledEverywhere);
+        pruneSizes(shares.ownedShare, settledEverywhere);
         resizeShare(state, shares, now);
     }
 }
 
-void sendQueries(ShareHolder &state, std::vector<ShareOutgoing> &out)
+void sendQueries(RateShares &state, std::vector<ShareOutgoing> &out)
 {
     const auto isGrowing = [](const auto &entry) {
-        return entry.second.part.sizes.size() > 1;
+        return entry.second.ownedShare.sizes.size() > 1;
     };
     const bool grows = std::any_of(state.customers.begin(), state.customers.end(), isGrowing);
     ++state.querySerial;
@@ -97,12 +97,12 @@
 namespace {
 
 /// Marks the newest ticket as settled once no share exceeds the size it gives.
-void updateSettled(ShareHolder &state)
+void updateSettled(RateShares &state)
 {
     if (state.settled == state.ticket)
         return;
     const auto isSettled = [](const auto &entry) {
-        const OwnedShare &share = entry.second.part;
+        const OwnedShare &share = entry.second.ownedShare;
         const double burst = entry.second.terms.burst * share.sizes.back().fraction;
         return share.bucket.reserved <= burst + 1e-6;
     };
@@ -110,31 +110,31 @@
         state.settled = state.ticket;
 }
 
-void answerRequest(ShareHolder &state, const HostLife &sender, const ShareAsk &ask, Instant now,
-                   std::vector<ShareOutgoing> &out)
+void answerRequest(RateShares &state, const HostIncarnation &sender, const ShareAsk &ask,
+                   Instant now, std::vector<ShareOutgoing> &out)
 {
     CustomerShares *shares = find(state, ask.customer);
     const bool isForThisIncarnation = ask.lender == state.self.incarnation;
     ShareGrant grant{ ask.customer,         ask.serial, Tokens{}, sender.incarnation,
                       state.settings.lease, Tokens{},   0 };
     if (shares && isForThisIncarnation && ask.serial == 0) {
-        const auto account = shares->part.loans.find(sender);
-        if (account != shares->part.loans.end())
-            applyReport(shares->part, account->second, ask.report, now);
+        const auto account = shares->ownedShare.loans.find(sender);
+        if (account != shares->ownedShare.loans.end())
+            applyReport(shares->ownedShare, account->second, ask.report, now);
         return;
     }
     if (ask.serial == 0)
         return;
     if (shares && isForThisIncarnation && state.isTrusted && !state.isSuperseded) {
-        grant.amount = lend(shares->part, sender, ask, shares->waiting, state.settings, now);
-        grant.left = Tokens{ static_cast<std::int64_t>(shares->part.bucket.level) };
-        grant.borrowers = static_cast<std::uint32_t>(shares->part.loans.size());
+        grant.amount = lend(shares->ownedShare, sender, ask, shares->waiting, state.settings, now);
+        grant.left = Tokens{ static_cast<std::int64_t>(shares->ownedShare.bucket.level) };
+        grant.borrowers = static_cast<std::uint32_t>(shares->ownedShare.loans.size());
         state.counters.lentTokens += static_cast<std::uint64_t>(grant.amount.count);
     }
     out.push_back(ShareOutgoing{ sender.host, grant });
 }
 
-std::optional<CustomerId> applyGrant(ShareHolder &state, const HostLife &sender,
+std::optional<CustomerId> applyGrant(RateShares &state, const HostIncarnation &sender,
                                      const ShareGrant &grant, Instant now)
 {
     CustomerShares *shares = find(state, grant.customer);
@@ -156,10 +156,10 @@
     return grant.customer;
 }
 
-void answerQuery(ShareHolder &state, const HostLife &sender, const ShareQuery &query, Instant now,
-                 std::vector<ShareOutgoing> &out)
+void answerQuery(RateShares &state, const HostIncarnation &sender, const ShareQuery &query,
+                 Instant now, std::vector<ShareOutgoing> &out)
 {
-    noteSeat(state, query.seat, sender, now);
+    recordContact(state, query.seat, sender, now);
     // A new host sends no statement until a predecessor that was only paused has stopped: what that
     // one had borrowed cannot be generated after that.
     if (!state.earningStartsAt || now < *state.earningStartsAt || state.isSuperseded)
@@ -188,12 +188,12 @@
     out.push_back(ShareOutgoing{ sender.host, statement });
 }
 
-void applyStatement(ShareHolder &state, const HostLife &sender, const ShareStatement &statement,
-                    Instant now)
+void applyStatement(RateShares &state, const HostIncarnation &sender,
+                    const ShareStatement &statement, Instant now)
 {
     if (statement.asker != state.self.incarnation)
         return;
-    noteSeat(state, statement.seat, sender, now);
+    recordContact(state, statement.seat, sender, now);
     const auto view = state.seats.find(statement.seat);
     if (view == state.seats.end() || view->second.occupant != sender)
         return;
@@ -216,11 +216,11 @@
 
 } // namespace
 
-std::optional<CustomerId> onShareMessage(ShareHolder &state, const HostLife &sender,
+std::optional<CustomerId> onShareMessage(RateShares &state, const HostIncarnation &sender,
                                          const ShareBody &body, Instant now,
                                          std::vector<ShareOutgoing> &out)
 {
-    noteTime(state, now);
+    detectPause(state, now);
     if (const ShareGrant *grant = std::get_if<ShareGrant>(&body))
         return applyGrant(state, sender, *grant, now);
     if (const ShareAsk *ask = std::get_if<ShareAsk>(&body))
--- a/packages/limits/src/share_layout.cpp
+++ b/packages/limits/src/share_layout.cpp
@@ -30,7 +30,7 @@
     std::uint32_t total = 0;
     for (const auto &[zone, seats] : zones)
         total += seats;
-    const std::uint32_t perZone = settings.mostOwners
+    const std::uint32_t perZone = settings.maxOwners
             / std::max(1U, static_cast<std::uint32_t>(zones.size()));
     std::vector<SeatShare> owners;
     for (const auto &[zone, seats] : zones) {
--- a/packages/limits/tests/share_holder_test.cpp
+++ b/packages/limits/tests/rate_shares_test.cpp
@@ -1,4 +1,4 @@
-#include "azurewell/limits/share_holder.h"
+#include "azurewell/limits/rate_shares.h"
 
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
 /// Hosts that exchange messages without delay, except those that are partitioned.
 struct TestFleet
 {
-    std::vector<ShareHolder> hosts;
+    std::vector<RateShares> hosts;
     ShareSettings settings;
     Instant now{ 1'000'000 };
     std::set<HostId> silent; ///< Hosts that neither send nor receive.
@@ -36,9 +36,10 @@
     std::size_t begin(const SeatId &seat)
     {
         const std::size_t index = this->hosts.size();
-        const HostLife self{ HostId{ std::to_string(index) }, Incarnation{ ++this->serial } };
-        this->hosts.push_back(makeShareHolder(seat, self, &weightOf, this->settings));
-        noteTime(this->hosts.back(), this->now);
+        const HostIncarnation self{ HostId{ std::to_string(index) },
+                                    Incarnation{ ++this->serial } };
+        this->hosts.push_back(makeRateShares(seat, self, &weightOf, this->settings));
+        detectPause(this->hosts.back(), this->now);
         return index;
     }
     void ticket(std::size_t host, std::uint64_t number, const ZoneSeats &zones)
@@ -67,12 +68,12 @@
         for (std::size_t host = 0; host < this->hosts.size(); ++host) {
             if (this->isSilent(host))
                 continue;
-            for (const ShareHolder &other : this->hosts) {
+            for (const RateShares &other : this->hosts) {
                 if (!this->silent.contains(other.self.host) && other.self != this->hosts[host].self)
-                    noteSeat(this->hosts[host], other.seat, other.self, this->now);
+                    recordContact(this->hosts[host], other.seat, other.self, this->now);
             }
             std::vector<ShareOutgoing> out;
-            tendShares(this->hosts[host], this->now, out);
+            pollShares(this->hosts[host], this->now, out);
             this->send(host, out);
         }
     }
@@ -90,14 +91,14 @@
         std::int64_t reserved = 0;
         for (int tries = 0; tries < 200; ++tries) {
             std::vector<ShareOutgoing> out;
-            seekTokens(this->hosts[host], customer, Tokens{ 100 }, this->now, out);
+            requestTokens(this->hosts[host], customer, Tokens{ 100 }, this->now, out);
             this->send(host, out);
             const RequestId id{ std::to_string(host) + "-" + std::to_string(++this->serial) };
             reserved += reserve(this->hosts[host], id, customer, Tokens{ 100 }, this->now) ? 100
                                                                                            : 0;
         }
         std::vector<ShareOutgoing> out;
-        seekTokens(this->hosts[host], customer, Tokens{}, this->now, out);
+        requestTokens(this->hosts[host], customer, Tokens{}, this->now, out);
         return reserved;
     }
 };
@@ -115,9 +116,9 @@
     return fleet;
 }
 
-double levelOf(const ShareHolder &host, Instant now)
+double levelOf(const RateShares &host, Instant now)
 {
-    TokenBucket bucket = host.customers.at(customer).part.bucket;
+    TokenBucket bucket = host.customers.at(customer).ownedShare.bucket;
     refill(bucket, now);
     return bucket.level;
 }
@@ -125,8 +126,8 @@
 double sumOfShares(const TestFleet &fleet)
 {
     double sum = 0;
-    for (const ShareHolder &host : fleet.hosts)
-        sum += host.customers.at(customer).part.bucket.burst;
+    for (const RateShares &host : fleet.hosts)
+        sum += host.customers.at(customer).ownedShare.bucket.burst;
     return sum;
 }
 
@@ -151,10 +152,10 @@
 
 // Guards against wrongful refusal when the balancer sends all of a customer's traffic to one host:
 // with its own share alone that host would refuse two thirds of the burst.
-TEST(ShareHolder, HotHostBorrowsFromOthers)
+TEST(RateShares, HotHostBorrowsFromOthers)
 {
     TestFleet fleet = threeHosts();
-    const double reach = burst / 3 * (1 + 2 * fleet.settings.mostPerBorrower);
+    const double reach = burst / 3 * (1 + 2 * fleet.settings.maxFractionPerBorrower);
     EXPECT_NEAR(static_cast<double>(fleet.reserveAll(0)), reach, 100);
     // The others still hold what one borrower can't take, and the sum stays within the burst.
     const std::int64_t rest = fleet.reserveAll(1) + fleet.reserveAll(2);
@@ -163,7 +164,7 @@
 
 // Guards against lending the same tokens twice when a lender is replaced during a burst. What it
 // lent is still being generated elsewhere; a successor must not refill over it.
-TEST(ShareHolder, ReplacedLenderReservesFormerLoans)
+TEST(RateShares, ReplacedLenderReservesFormerLoans)
 {
     for (const bool forgets : { false, true }) {
         ShareSettings settings;
@@ -186,7 +187,7 @@
 
 // Guards against two hosts that earn on one ordinal: a process is paused for so long that a
 // successor takes its ordinal, and then resumes.
-TEST(ShareHolder, PausedHostAdmitsNothingUntilConfirmed)
+TEST(RateShares, PausedHostAdmitsNothingUntilConfirmed)
 {
     TestFleet fleet = threeHosts();
     fleet.silent.insert(fleet.hosts[0].self.host);
@@ -194,7 +195,7 @@
     fleet.pass(5);
     fleet.silent.clear();
     EXPECT_GT(levelOf(fleet.hosts[0], fleet.now), 1.0);
-    noteTime(fleet.hosts[0], fleet.now);
+    detectPause(fleet.hosts[0], fleet.now);
     EXPECT_FALSE(reserve(fleet.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 }, fleet.now));
     fleet.pass(1);
     EXPECT_TRUE(fleet.hosts[0].isSuperseded);
@@ -203,13 +204,13 @@
 
 // Guards against a paused host that never serves again: without a successor it must resume as soon
 // as another host has confirmed its ordinal.
-TEST(ShareHolder, PausedHostResumesOnceConfirmed)
+TEST(RateShares, PausedHostResumesOnceConfirmed)
 {
     TestFleet fleet = threeHosts();
     fleet.silent.insert(fleet.hosts[0].self.host);
     fleet.pass(5);
     fleet.silent.clear();
-    noteTime(fleet.hosts[0], fleet.now);
+    detectPause(fleet.hosts[0], fleet.now);
     EXPECT_FALSE(fleet.hosts[0].isTrusted);
     fleet.pass(1);
     EXPECT_TRUE(reserve(fleet.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 }, fleet.now));
@@ -218,7 +219,7 @@
 // Guards against shares that add up to more than the whole while a ticket is being distributed. A
 // ticket adds two ordinals to zone c and hosts receive it one after the other: shares may shrink at
 // once but grow only when every host has applied it.
-TEST(ShareHolder, SharesGrowOnlyWhenEveryHostHasTheTicket)
+TEST(RateShares, SharesGrowOnlyWhenEveryHostHasTheTicket)
 {
     for (const bool atOnce : { false, true }) {
         ShareSettings settings;
@@ -243,7 +244,7 @@
 
 // Guards against shares that change with the visible host list: one host is unreachable for 30 s,
 // and shares depend on tickets only.
-TEST(ShareHolder, SharesDoNotDependOnReachableHosts)
+TEST(RateShares, SharesDoNotDependOnReachableHosts)
 {
     TestFleet fleet = threeHosts();
     fleet.silent.insert(fleet.hosts[2].self.host);
@@ -253,19 +254,19 @@
 
 // Guards against losing the tokens of a late grant: a grant that arrives after its request timed
 // out is dropped, and the lender recovers the tokens with the next report.
-TEST(ShareHolder, LateGrantIsReturnedToLender)
+TEST(RateShares, LateGrantIsReturnedToLender)
 {
     TestFleet fleet = threeHosts();
     std::vector<ShareOutgoing> asks;
-    seekTokens(fleet.hosts[0], customer, Tokens{ 2500 }, fleet.now, asks);
+    requestTokens(fleet.hosts[0], customer, Tokens{ 2500 }, fleet.now, asks);
     ASSERT_FALSE(asks.empty());
     const std::size_t lender = std::stoul(asks[0].to.value);
     std::vector<ShareOutgoing> grants;
     onShareMessage(fleet.hosts[lender], fleet.hosts[0].self, asks[0].body, fleet.now, grants);
-    const TokenBucket &bucket = fleet.hosts[lender].customers.at(customer).part.bucket;
+    const TokenBucket &bucket = fleet.hosts[lender].customers.at(customer).ownedShare.bucket;
     EXPECT_GT(bucket.reserved, 0);
     std::vector<ShareOutgoing> none;
-    seekTokens(fleet.hosts[0], customer, Tokens{}, fleet.now, none);
+    requestTokens(fleet.hosts[0], customer, Tokens{}, fleet.now, none);
     fleet.pass(1);
     EXPECT_EQ(onShareMessage(fleet.hosts[0], fleet.hosts[lender].self, grants[0].body, fleet.now,
                              none),
@@ -276,11 +277,11 @@
 
 // Guards against the use of lent tokens after their lease, when the lender may have written them
 // off.
-TEST(ShareHolder, LentTokensCannotBeReservedAfterTheLease)
+TEST(RateShares, LentTokensCannotBeReservedAfterTheLease)
 {
     TestFleet fleet = threeHosts();
     std::vector<ShareOutgoing> out;
-    seekTokens(fleet.hosts[0], customer, Tokens{ 2900 }, fleet.now, out);
+    requestTokens(fleet.hosts[0], customer, Tokens{ 2900 }, fleet.now, out);
     fleet.send(0, out);
     fleet.silent.insert(fleet.hosts[0].self.host);
     fleet.now = fleet.now + fleet.settings.lease;
@@ -290,18 +291,18 @@
 
 // Guards against two hosts on one ordinal when a paused host can't reach any other. It admits
 // nothing, since a successor may exist, unless the operator has enabled resumesUnconfirmed.
-TEST(ShareHolder, IsolatedPausedHostResumesOnlyIfConfigured)
+TEST(RateShares, IsolatedPausedHostResumesOnlyIfConfigured)
 {
     for (const bool resumes : { false, true }) {
         ShareSettings settings;
         settings.resumesUnconfirmed = resumes;
         TestFleet fleet = threeHosts(settings);
         fleet.now = fleet.now + fromSeconds(60);
-        noteTime(fleet.hosts[0], fleet.now);
+        detectPause(fleet.hosts[0], fleet.now);
         for (int tick = 0; tick < 200; ++tick) {
             std::vector<ShareOutgoing> lost;
             fleet.now = fleet.now + fromSeconds(0.1);
-            tendShares(fleet.hosts[0], fleet.now, lost);
+            pollShares(fleet.hosts[0], fleet.now, lost);
         }
         const bool isAdmitted = reserve(fleet.hosts[0], RequestId{ "r" }, customer, Tokens{ 1 },
                                         fleet.now);
--- a/packages/limits/tests/share_conservation_test.cpp
+++ b/packages/limits/tests/share_conservation_test.cpp
@@ -12,7 +12,7 @@
     ShareSettings settings;
     settings.lease = fromSeconds(0.5);
     settings.maxLentRunTime = fromSeconds(1);
-    settings.silence = fromSeconds(0.5);
+    settings.reachableTimeout = fromSeconds(0.5);
     settings.pauseThreshold = fromSeconds(0.2);
     settings.takeoverDelay = fromSeconds(0.25);
     settings.queryInterval = fromSeconds(0.1);
--- a/packages/limits/tests/share_fleet.cpp
+++ b/packages/limits/tests/share_fleet.cpp
@@ -64,9 +64,9 @@
 {
     ++this->sequence;
     FleetHost host;
-    const HostLife self{ HostId{ "h" + std::to_string(this->hosts.size()) },
-                         Incarnation{ this->sequence } };
-    host.shares = makeShareHolder(seat, self, &weightOf, this->settings);
+    const HostIncarnation self{ HostId{ "h" + std::to_string(this->hosts.size()) },
+                                Incarnation{ this->sequence } };
+    host.shares = makeRateShares(seat, self, &weightOf, this->settings);
     host.clockRate = 1.0 + (this->uniform() - 0.5) * 8e-4; // 400 parts in a million either way
     host.startedAt = this->now;
     this->hosts.push_back(std::move(host));
@@ -243,7 +243,7 @@
 void ShareFleet::generateTokens(FleetHost &host)
 {
     const Instant local = this->localTime(host);
-    for (const RequestId &overdue : takeOverdue(host.shares, local)) {
+    for (const RequestId &overdue : takeOverdueRequests(host.shares, local)) {
         std::erase_if(host.running, [&](const FleetRequest &run) { return run.id == overdue; });
         release(host.shares, overdue, local);
     }
@@ -276,7 +276,7 @@
         host.waiting.pop_front();
         ++this->admitted;
         ++host.admitted;
-        // Some run for longer than lent tokens allow; takeOverdue() ends those.
+        // Some run for longer than lent tokens allow; takeOverdueRequests() ends those.
         const double longest = toSeconds(this->settings.maxLentRunTime) * 1.2;
         request.endsAt = this->now + fromSeconds(this->uniform() * longest);
         // The worst case for the bound: all requests end at the same moments.
@@ -293,23 +293,23 @@
     for (const FleetRequest &request : host.waiting)
         waiting += request.cost;
     std::vector<ShareOutgoing> out;
-    seekTokens(host.shares, onlyCustomer, waiting, local, out);
+    requestTokens(host.shares, onlyCustomer, waiting, local, out);
     this->send(host, out);
 }
 
 void ShareFleet::poll(FleetHost &host)
 {
-    noteTime(host.shares, this->localTime(host));
+    detectPause(host.shares, this->localTime(host));
     this->readTickets(host);
     for (const FleetHost &other : this->hosts) {
         const bool isReachable = &other != &host && this->isRunning(other)
                 && !this->isPartitioned(other.shares.seat.zone, host.shares.seat.zone)
                 && this->uniform() < 0.1;
         if (isReachable)
-            noteSeat(host.shares, other.shares.seat, other.shares.self, this->localTime(host));
+            recordContact(host.shares, other.shares.seat, other.shares.self, this->localTime(host));
     }
     std::vector<ShareOutgoing> out;
-    tendShares(host.shares, this->localTime(host), out);
+    pollShares(host.shares, this->localTime(host), out);
     this->send(host, out);
     this->generateTokens(host);
     this->admit(host);
@@ -335,7 +335,7 @@
         if (!this->isRunning(host))
             continue;
         // Messages that arrived during a pause are read after it, when they are stale.
-        std::vector<std::pair<HostLife, ShareBody>> inbox = std::exchange(host.inbox, {});
+        std::vector<std::pair<HostIncarnation, ShareBody>> inbox = std::exchange(host.inbox, {});
         for (auto &[sender, body] : inbox)
             this->deliver(host, FleetMessage{ this->now, 0, index, sender, body });
         this->poll(host);
--- a/packages/limits/tests/share_fleet.h
+++ b/packages/limits/tests/share_fleet.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "azurewell/limits/share_holder.h"
+#include "azurewell/limits/rate_shares.h"
 
 #include <functional>
 #include <queue>
@@ -55,7 +55,7 @@
 
 struct FleetHost
 {
-    ShareHolder shares;
+    RateShares shares;
     double clockRate = 1.0;
     std::size_t ticketsRead = 0;
     Instant startedAt;
@@ -64,7 +64,8 @@
     std::uint64_t admitted = 0;
     std::vector<FleetRequest> running;
     std::deque<FleetRequest> waiting;
-    std::vector<std::pair<HostLife, ShareBody>> inbox; ///< Messages that arrived during a pause.
+    std::vector<std::pair<HostIncarnation, ShareBody>>
+            inbox; ///< Messages that arrived during a pause.
 };
 
 struct FleetMessage
@@ -72,7 +73,7 @@
     Instant arrivesAt;
     std::uint64_t order = 0;
     std::size_t to = 0;
-    HostLife sender;
+    HostIncarnation sender;
     ShareBody body;
 
     bool operator<(const FleetMessage &other) const
--- a/packages/logging/include/azurewell/logging/request_summary.h
+++ b/packages/logging/include/azurewell/logging/request_summary.h
@@ -9,10 +9,10 @@
 namespace azurewell {
 
 /// Latency targets in milliseconds: an answer within both is in time.
-struct Expectation
+struct LatencyTargets
 {
-    long firstMillis = 1000; ///< From arrival to the first event of an answer.
-    long pauseMillis = 500;  ///< Between two events of an answer.
+    long firstEventMillis = 1000; ///< From arrival to the first event of an answer.
+    long maxPauseMillis = 500;    ///< Between two events of an answer.
 };
 
 /// Counts requests by outcome, from the log lines of all hosts.
@@ -21,9 +21,9 @@
     using Counts = std::map<std::string, std::uint64_t>;
 
     std::map<std::string, Counts> byPath; ///< Outcomes by first path segment, see outcomeOf().
-    Counts lostAtUpstream;         ///< Late or refused requests by the upstream they were sent to.
-    Counts lostOfAdapter;          ///< Late or refused requests by adapter.
-    std::uint64_t linesUnread = 0; ///< Lines that could not be parsed.
+    Counts failuresByUpstream; ///< Late or refused requests by the upstream they were sent to.
+    Counts failuresByAdapter;  ///< Late or refused requests by adapter.
+    std::uint64_t unparsedLines = 0; ///< Lines that could not be parsed.
 };
 
 /// The outcome of the request that \a line ends; empty if it ends none:
@@ -34,9 +34,9 @@
 /// - `late_pause`: a pause between two events was too long.
 /// - `refused_CODE_early`: refused within an eighth of the target for the first event.
 /// - `refused_CODE_waited`: refused later.
-std::string outcomeOf(const LogLine &line, const Expectation &expected);
+std::string outcomeOf(const LogLine &line, const LatencyTargets &expected);
 
 /// Counts one log line.
-void addLine(RequestSummary &summary, std::string_view text, const Expectation &expected);
+void addLine(RequestSummary &summary, std::string_view text, const LatencyTargets &expected);
 
 } // namespace azurewell
--- a/packages/logging/src/request_summary.cpp
+++ b/packages/logging/src/request_summary.cpp
@@ -4,19 +4,19 @@
 
 namespace {
 
-std::string outcomeOfAnswer(const LogLine &line, const Expectation &expected)
+std::string outcomeOfAnswer(const LogLine &line, const LatencyTargets &expected)
 {
-    if (numberOf(line, "first_ms") > expected.firstMillis) {
-        const bool wasSentLate = numberOf(line, "sent_ms") > expected.firstMillis / 2;
+    if (numberOf(line, "first_ms") > expected.firstEventMillis) {
+        const bool wasSentLate = numberOf(line, "sent_ms") > expected.firstEventMillis / 2;
         return wasSentLate ? "late_sent" : "late_read";
     }
-    return numberOf(line, "pause_ms") > expected.pauseMillis ? "late_pause" : "in_time";
+    return numberOf(line, "pause_ms") > expected.maxPauseMillis ? "late_pause" : "in_time";
 }
 
-std::string outcomeOfRefusal(const LogLine &line, const Expectation &expected)
+std::string outcomeOfRefusal(const LogLine &line, const LatencyTargets &expected)
 {
     constexpr long earlyDivisor = 8;
-    const bool isEarly = numberOf(line, "after_ms") <= expected.firstMillis / earlyDivisor;
+    const bool isEarly = numberOf(line, "after_ms") <= expected.firstEventMillis / earlyDivisor;
     return "refused_" + std::string(fieldOf(line, "code")) + (isEarly ? "_early" : "_waited");
 }
 
@@ -35,7 +35,7 @@
 
 } // namespace
 
-std::string outcomeOf(const LogLine &line, const Expectation &expected)
+std::string outcomeOf(const LogLine &line, const LatencyTargets &expected)
 {
     if (line.event == "request_answered")
         return outcomeOfAnswer(line, expected);
@@ -44,11 +44,11 @@
     return {};
 }
 
-void addLine(RequestSummary &summary, std::string_view text, const Expectation &expected)
+void addLine(RequestSummary &summary, std::string_view text, const LatencyTargets &expected)
 {
     const std::optional<LogLine> line = readLogLine(text);
     if (!line) {
-        ++summary.linesUnread;
+        ++summary.unparsedLines;
         return;
     }
     const std::string outcome = outcomeOf(*line, expected);
@@ -57,8 +57,8 @@
     ++summary.byPath[firstSegment(fieldOf(*line, "path"))][outcome];
     if (outcome == "in_time")
         return;
-    countFailure(summary.lostAtUpstream, fieldOf(*line, "upstream"));
-    countFailure(summary.lostOfAdapter, fieldOf(*line, "adapter"));
+    countFailure(summary.failuresByUpstream, fieldOf(*line, "upstream"));
+    countFailure(summary.failuresByAdapter, fieldOf(*line, "adapter"));
 }
 
 } // namespace azurewell
--- a/packages/logging/tests/request_summary_test.cpp
+++ b/packages/logging/tests/request_summary_test.cpp
@@ -37,7 +37,7 @@
 
 TEST(RequestSummary, ClassifiesLateAnswers)
 {
-    const Expectation expected;
+    const LatencyTargets expected;
     EXPECT_EQ(outcomeOf(*readLogLine(answered(10, 300, 200)), expected), "in_time");
     EXPECT_EQ(outcomeOf(*readLogLine(answered(700, 1200, 200)), expected), "late_sent");
     EXPECT_EQ(outcomeOf(*readLogLine(answered(10, 1200, 900)), expected), "late_read");
@@ -47,7 +47,7 @@
 TEST(RequestSummary, CountsRefusalsByCodeAndWhetherTheyWereEarly)
 {
     RequestSummary summary;
-    const Expectation expected;
+    const LatencyTargets expected;
     const std::string refused
             = "t info request_refused request=1 code=queue_full path=/s/17 adapter=a7 "
               "upstream=\"\" after_ms=";
@@ -60,9 +60,9 @@
     EXPECT_EQ(counts.at("refused_queue_full_early"), 1U);
     EXPECT_EQ(counts.at("refused_queue_full_waited"), 1U);
     EXPECT_EQ(counts.at("late_pause"), 1U);
-    EXPECT_EQ(summary.lostOfAdapter.at("a7"), 3U);
-    EXPECT_EQ(summary.lostAtUpstream.size(), 1U);
-    EXPECT_EQ(summary.linesUnread, 1U);
+    EXPECT_EQ(summary.failuresByAdapter.at("a7"), 3U);
+    EXPECT_EQ(summary.failuresByUpstream.size(), 1U);
+    EXPECT_EQ(summary.unparsedLines, 1U);
 }
 
 } // namespace
--- a/packages/placement/include/azurewell/placement/engine_adapters.h
+++ b/packages/placement/include/azurewell/placement/engine_adapters.h
@@ -46,7 +46,7 @@
 std::uint32_t usedSlots(const EngineAdapters &engine);
 
 /// The number of adapters that are being loaded.
-std::uint32_t loadsUnderWay(const EngineAdapters &engine);
+std::uint32_t loadsInFlight(const EngineAdapters &engine);
 
 /// The number of slots that a load could use: empty ones, and those of loaded adapters without
 /// pins.
@@ -83,7 +83,7 @@
 void endBackOffs(EngineAdapters &engine, const Chart &chart, Instant now);
 
 /// Adds \a count started requests to the popularity of \a ref.
-void noteUses(EngineAdapters &engine, const AdapterRef &ref, double count, Instant now);
+void recordUses(EngineAdapters &engine, const AdapterRef &ref, double count, Instant now);
 
 /// Counts a request that uses \a ref, which can't be evicted until unpin().
 void pin(EngineAdapters &engine, const AdapterRef &ref, Instant now);
--- a/packages/placement/include/azurewell/placement/load_pacer.h
+++ b/packages/placement/include/azurewell/placement/load_pacer.h
@@ -28,6 +28,6 @@
 bool mayLoad(const LoadPacer &pacer, std::uint32_t inFlight, Instant now);
 
 /// Records a load that ended after \a took, and delays the next one accordingly.
-void noteLoadEnded(LoadPacer &pacer, std::size_t coordinators, Span took, Instant now);
+void recordLoadEnd(LoadPacer &pacer, std::size_t coordinators, Span took, Instant now);
 
 } // namespace azurewell
--- a/packages/placement/src/engine_adapters.cpp
+++ b/packages/placement/src/engine_adapters.cpp
@@ -37,7 +37,7 @@
     return static_cast<std::uint32_t>(count);
 }
 
-std::uint32_t loadsUnderWay(const EngineAdapters &engine)
+std::uint32_t loadsInFlight(const EngineAdapters &engine)
 {
     const auto count = std::count_if(
             engine.adapters.begin(), engine.adapters.end(),
@@ -138,7 +138,7 @@
     }
 }
 
-void noteUses(EngineAdapters &engine, const AdapterRef &ref, double count, Instant now)
+void recordUses(EngineAdapters &engine, const AdapterRef &ref, double count, Instant now)
 {
     AdapterOnEngine &adapter = engine.adapters[ref];
     adapter.popularity = popularityAt(adapter, engine.popularityHalfLife, now) + count;
@@ -148,7 +148,7 @@
 
 void pin(EngineAdapters &engine, const AdapterRef &ref, Instant now)
 {
-    noteUses(engine, ref, 1, now);
+    recordUses(engine, ref, 1, now);
     ++engine.adapters[ref].pins;
 }
 
--- a/packages/placement/src/load_pacer.cpp
+++ b/packages/placement/src/load_pacer.cpp
@@ -32,7 +32,7 @@
     return inFlight == 0 && now >= pacer.nextLoadAt;
 }
 
-void noteLoadEnded(LoadPacer &pacer, std::size_t coordinators, Span took, Instant now)
+void recordLoadEnd(LoadPacer &pacer, std::size_t coordinators, Span took, Instant now)
 {
     pacer.nextLoadAt = now + delayAfter(took, coordinators);
 }
--- a/packages/placement/tests/load_pacer_test.cpp
+++ b/packages/placement/tests/load_pacer_test.cpp
@@ -51,7 +51,7 @@
         if (coordinator.isLoading && coordinator.endsAt <= this->now) {
             coordinator.isLoading = false;
             ++this->ended;
-            noteLoadEnded(coordinator.pacer, this->coordinators.size(),
+            recordLoadEnd(coordinator.pacer, this->coordinators.size(),
                           this->now - coordinator.startedAt, this->now);
         }
         if (coordinator.isLoading || !mayLoad(coordinator.pacer, 0, this->now))
--- a/packages/proxy/include/azurewell/proxy/proxy.h
+++ b/packages/proxy/include/azurewell/proxy/proxy.h
@@ -102,7 +102,7 @@
 
     void refuse(const gateway::Refuse &refusal);
     void order(const gateway::OrderEngine &order);
-    void requestReport(const gateway::AskReport &ask);
+    void requestReport(const gateway::QueryReport &ask);
     void tick();
     void closeTimedOutCallers(Instant now);
     void continueStop(Instant now);
--- a/packages/proxy/include/azurewell/proxy/wire_format.h
+++ b/packages/proxy/include/azurewell/proxy/wire_format.h
@@ -43,9 +43,9 @@
     double (*readLimit)(const ResponseHead &head);
 
     /// A complete request for the report of an engine's state.
-    std::string (*reportRequest)(const gateway::AskReport &ask);
+    std::string (*reportRequest)(const gateway::QueryReport &ask);
     /// Decodes a report; empty if it is from another engine or cannot be decoded.
-    std::optional<gateway::EngineState> (*readReport)(const gateway::AskReport &ask,
+    std::optional<gateway::EngineState> (*readReport)(const gateway::QueryReport &ask,
                                                       const ResponseHead &head,
                                                       std::string_view body);
 
--- a/packages/proxy/src/proxy.cpp
+++ b/packages/proxy/src/proxy.cpp
@@ -85,14 +85,14 @@
         this->dispatch(toSend);
     for (const OrderEngine &toGive : actions.orders)
         this->order(toGive);
-    for (const AskReport &ask : actions.reports)
+    for (const QueryReport &ask : actions.reports)
         this->requestReport(ask);
     const Instant now = monotonicNow();
     for (const SendGossip &message : actions.gossip) {
         const std::size_t bytes = this->gossip->send(message, now);
         countSent(this->core.counters.sent, message.kind, message.isToOtherZone, bytes);
     }
-    for (const Note &note : actions.notes) {
+    for (const LogEvent &note : actions.logEvents) {
         std::vector<LogField> fields;
         for (const auto &[key, value] : note.fields)
             fields.push_back({ key, value });
--- a/packages/proxy/src/proxy_callers.cpp
+++ b/packages/proxy/src/proxy_callers.cpp
@@ -78,7 +78,7 @@
         return;
     const RequestNumber number = request->second;
     Actions actions;
-    handle(this->core, CallerLeft{ number }, monotonicNow(), actions);
+    handle(this->core, CallerDisconnected{ number }, monotonicNow(), actions);
     this->run(actions);
     this->open.erase(number);
     this->requestOf.erase(id);
@@ -97,7 +97,7 @@
 void Proxy::closeTimedOutCallers(Instant now)
 {
     const CallerLimits &limits = this->core.configuration.limits;
-    const CallerTimeouts timeouts{ limits.headPatience, limits.idlePatience };
+    const CallerTimeouts timeouts{ limits.headTimeout, limits.idleTimeout };
     std::erase_if(this->sessions, [&](const auto &entry) {
         return entry.second->isFinished(now) || entry.second->isTimedOut(timeouts, now);
     });
--- a/packages/proxy/src/proxy_engines.cpp
+++ b/packages/proxy/src/proxy_engines.cpp
@@ -24,7 +24,7 @@
     switch (outcome) {
     case OrderOutcome::Taken:
         return "taken";
-    case OrderOutcome::HeldAlready:
+    case OrderOutcome::AlreadyDone:
         return "held_already";
     case OrderOutcome::Refused:
         return "refused";
@@ -59,7 +59,7 @@
                           now + callTimeout, onAnswer, now, orderConnectTimeout);
 }
 
-void Proxy::requestReport(const AskReport &ask)
+void Proxy::requestReport(const QueryReport &ask)
 {
     const Instant askedAt = monotonicNow();
     const auto onAnswer = [this, ask, askedAt](std::optional<CallAnswer> answer) {
--- a/packages/proxy/src/proxy_metrics.cpp
+++ b/packages/proxy/src/proxy_metrics.cpp
@@ -57,7 +57,7 @@
         fmt::format_to(std::back_inserter(out), "{}{{kind=\"{}\",to=\"zone\"}} {}\n", metric, name,
                        byZone.inZone.*value);
         fmt::format_to(std::back_inserter(out), "{}{{kind=\"{}\",to=\"elsewhere\"}} {}\n", metric,
-                       name, byZone.elsewhere.*value);
+                       name, byZone.inOtherZones.*value);
     }
 }
 
@@ -106,9 +106,9 @@
     addCounter(out, "azurewell_requests_total", counters.requests);
     addCounter(out, "azurewell_dispatches_total", counters.dispatched);
     addCounter(out, "azurewell_answers_total", counters.answered);
-    addCounter(out, "azurewell_callers_left_total", counters.callersLeft);
-    addCounter(out, "azurewell_crash_suspicions_total", state.quarantine.noted);
-    addCounter(out, "azurewell_crash_suspicions_refuted_total", state.quarantine.refuted);
+    addCounter(out, "azurewell_callers_left_total", counters.callersDisconnected);
+    addCounter(out, "azurewell_crash_suspicions_total", state.quarantine.suspicionsRecorded);
+    addCounter(out, "azurewell_crash_suspicions_refuted_total", state.quarantine.suspicionsRefuted);
     addGauge(out, "azurewell_upstreams_limited", static_cast<double>(countLimited(state, now)));
     addGauge(out, "azurewell_requests_quarantined",
              static_cast<double>(state.quarantine.quarantinedUntil.size()));
@@ -122,7 +122,7 @@
     addSentTo(out, counters.sent, "azurewell_host_messages_total", &gateway::SentCount::messages);
     addSentTo(out, counters.sent, "azurewell_host_message_bytes_total", &gateway::SentCount::bytes);
     addCounter(out, "azurewell_host_messages_received_total", counters.gossipReceived);
-    addCounter(out, "azurewell_engine_looks_total", counters.engineLooks);
+    addCounter(out, "azurewell_engine_looks_total", counters.enginePolls);
     addCounter(out, "azurewell_wake_ups_total", metrics.wakeUps);
     addCounter(out, "azurewell_log_lines_left_out_total", droppedLogLines());
     addHistogram(out, "azurewell_first_byte_seconds", metrics.timeToFirstByte);
@@ -135,7 +135,7 @@
     addGauge(out, "azurewell_known_revision", static_cast<double>(state.published.revision));
     addPlatformReads(out, state.platformReader, now);
     addGauge(out, "azurewell_hosts_heard",
-             static_cast<double>(gateway::countHeard(state.members, now)));
+             static_cast<double>(gateway::countReachable(state.members, now)));
     addGauge(out, "azurewell_hosts_known", static_cast<double>(gateway::countKnown(state.members)));
     addGauge(out, "azurewell_requests_open", static_cast<double>(state.requests.size()));
     addGauge(out, "azurewell_requests_waiting", static_cast<double>(state.waiting.size()));
@@ -143,7 +143,7 @@
     addGauge(out, "azurewell_caller_connections", static_cast<double>(callers));
     double held = 0;
     for (const auto &[id, engine] : state.engines)
-        held += engine.rights.isHolding ? 1 : 0;
+        held += engine.rights.isCoordinating ? 1 : 0;
     addGauge(out, "azurewell_engines_ordered", held);
     fmt::format_to(std::back_inserter(out), "# TYPE azurewell_customer_tokens_in_window gauge\n");
     for (const auto &[customer, meter] : state.meters)
--- a/packages/proxy/src/proxy_requests.cpp
+++ b/packages/proxy/src/proxy_requests.cpp
@@ -65,7 +65,7 @@
     const RequestHead &line = session.request();
     request.attempt = toSend.attempt;
     request.upstream = toSend.upstream;
-    request.isHeldBack = toSend.isHeldBack;
+    request.isHeldBack = toSend.isBuffered;
     request.isAtUpstream = true;
     request.facts = {};
     request.body.clear();
--- a/packages/routing/include/azurewell/routing/retry_budget.h
+++ b/packages/routing/include/azurewell/routing/retry_budget.h
@@ -19,15 +19,15 @@
 {
     double tokens = 0;                    ///< Retries available now.
     double earned = earnedByFirstAttempt; ///< Tokens earned by each first attempt.
-    double mostSaved = maxSavedRetries;   ///< Upper limit of `tokens`.
+    double maxSaved = maxSavedRetries;    ///< Upper limit of `tokens`.
 };
 
-void countFirstTry(RetryBudget &budget);
+void countFirstAttempt(RetryBudget &budget);
 
 /// Takes a retry from the budget. Returns false if none is available.
 bool takeRetry(RetryBudget &budget);
 
 /// Returns a retry that was taken and not used.
-void giveBackRetry(RetryBudget &budget);
+void returnRetry(RetryBudget &budget);
 
 } // namespace azurewell
--- a/packages/routing/include/azurewell/routing/upstream_table.h
+++ b/packages/routing/include/azurewell/routing/upstream_table.h
@@ -44,7 +44,8 @@
     double adapterSlots = 1;
     EngineReport report;
     std::vector<ExpectedAdapter> expected;
-    std::int32_t sentSince = 0; ///< Own requests sent since the report minus those that ended.
+    std::int32_t sentSinceReport
+            = 0; ///< Own requests sent since the report minus those that ended.
     std::int32_t missesSinceReport
             = 0;                    ///< Of the requests sent, those whose adapter was not loaded.
     std::uint32_t inFlight = 0;     ///< Own requests that were sent and have not ended.
@@ -79,7 +80,7 @@
     std::vector<UpstreamGroup> groups;
     std::unordered_map<std::string, std::uint32_t> engineGroups;  ///< By base model.
     std::unordered_map<std::string, std::uint32_t> serviceGroups; ///< By service.
-    std::unordered_map<AdapterRef, std::vector<std::uint32_t>> holders;
+    std::unordered_map<AdapterRef, std::vector<std::uint32_t>> adapterHolders;
 };
 
 /// Replaces the upstreams by those in \a inForce. Observations of those that remain are kept.
@@ -92,18 +93,18 @@
 void noteReport(UpstreamTable &table, const UpstreamId &id, EngineReport report, Instant now);
 
 /// Records a request of this host that was sent to \a id or that requested a slot there.
-void noteSent(UpstreamTable &table, const UpstreamId &id, const AdapterRef &adapter, Instant now);
+void recordSent(UpstreamTable &table, const UpstreamId &id, const AdapterRef &adapter, Instant now);
 
-/// Records the end of a request recorded by noteSent(), whatever its outcome.
+/// Records the end of a request recorded by recordSent(), whatever its outcome.
 void noteEnded(UpstreamTable &table, const UpstreamId &id);
 
 /// Updates the pace of \a id and its group with a request whose \a tokens took \a took; \a held is
 /// the request's whole slot time, if known.
-void notePace(UpstreamTable &table, const UpstreamId &id, Tokens tokens, Span took,
-              std::optional<Span> held, Instant now);
+void recordPace(UpstreamTable &table, const UpstreamId &id, Tokens tokens, Span took,
+                std::optional<Span> held, Instant now);
 
 /// The parameters of the choice for one request.
-struct RouteAsk
+struct RouteRequest
 {
     const std::string &group;             ///< Name of the base model or of the service.
     const AdapterRef &adapter;            ///< Empty for a service call.
@@ -112,7 +113,7 @@
 };
 
 /// The available upstream with the lowest routeCost(), or none.
-std::optional<UpstreamId> chooseUpstream(const UpstreamTable &table, const RouteAsk &request,
+std::optional<UpstreamId> chooseUpstream(const UpstreamTable &table, const RouteRequest &request,
                                          Instant now);
 
 /// Expected seconds until \a entry starts a request for \a adapter, plus penalties for its cost to
--- a/packages/routing/src/choose_upstream.cpp
+++ b/packages/routing/src/choose_upstream.cpp
@@ -33,7 +33,7 @@
 double loadOf(const UpstreamEntry &entry)
 {
     const double known = static_cast<double>(entry.report.running)
-            + static_cast<double>(entry.report.queued) + static_cast<double>(entry.sentSince);
+            + static_cast<double>(entry.report.queued) + static_cast<double>(entry.sentSinceReport);
     return std::max(known, static_cast<double>(entry.inFlight)) / entry.batchSlots;
 }
 
@@ -69,7 +69,7 @@
     return loadSeconds + slotWait + homeSeconds * homeOrder;
 }
 
-bool isExcluded(const RouteAsk &request, const UpstreamEntry &entry)
+bool isExcluded(const RouteRequest &request, const UpstreamEntry &entry)
 {
     return std::find(request.excluded.begin(), request.excluded.end(), entry.id)
             != request.excluded.end();
@@ -80,7 +80,7 @@
 {
     const UpstreamTable &table;
     const UpstreamGroup &group;
-    const RouteAsk &request;
+    const RouteRequest &request;
     Instant now;
     bool acceptsSlow = false; ///< Whether slow upstreams are accepted.
     const UpstreamEntry *best = nullptr;
@@ -133,8 +133,8 @@
 
 void considerHolders(Choice &choice)
 {
-    const auto found = choice.table.holders.find(choice.request.adapter);
-    if (found == choice.table.holders.end())
+    const auto found = choice.table.adapterHolders.find(choice.request.adapter);
+    if (found == choice.table.adapterHolders.end())
         return;
     const std::vector<std::uint32_t> &holders = found->second;
     const std::size_t count = std::min(holders.size(), maxAdapterHolders);
@@ -162,7 +162,7 @@
     return batchWait + occupancy + zone + adapterWait(group, entry, adapter);
 }
 
-std::optional<UpstreamId> chooseUpstream(const UpstreamTable &table, const RouteAsk &request,
+std::optional<UpstreamId> chooseUpstream(const UpstreamTable &table, const RouteRequest &request,
                                          Instant now)
 {
     const bool isService = request.adapter.value.empty();
--- a/packages/routing/src/retry_budget.cpp
+++ b/packages/routing/src/retry_budget.cpp
@@ -4,9 +4,9 @@
 
 namespace azurewell {
 
-void countFirstTry(RetryBudget &budget)
+void countFirstAttempt(RetryBudget &budget)
 {
-    budget.tokens = std::min(budget.tokens + budget.earned, budget.mostSaved);
+    budget.tokens = std::min(budget.tokens + budget.earned, budget.maxSaved);
 }
 
 bool takeRetry(RetryBudget &budget)
@@ -17,9 +17,9 @@
     return true;
 }
 
-void giveBackRetry(RetryBudget &budget)
+void returnRetry(RetryBudget &budget)
 {
-    budget.tokens = std::min(budget.tokens + 1.0, budget.mostSaved);
+    budget.tokens = std::min(budget.tokens + 1.0, budget.maxSaved);
 }
 
 } // namespace azurewell
--- a/packages/routing/src/upstream_table.cpp
+++ b/packages/routing/src/upstream_table.cpp
@@ -69,17 +69,17 @@
 
 void dropHolder(UpstreamTable &table, const AdapterRef &adapter, std::uint32_t index)
 {
-    const auto found = table.holders.find(adapter);
-    if (found == table.holders.end())
+    const auto found = table.adapterHolders.find(adapter);
+    if (found == table.adapterHolders.end())
         return;
     std::erase(found->second, index);
     if (found->second.empty())
-        table.holders.erase(found);
+        table.adapterHolders.erase(found);
 }
 
 void addHolder(UpstreamTable &table, const AdapterRef &adapter, std::uint32_t index)
 {
-    std::vector<std::uint32_t> &holders = table.holders[adapter];
+    std::vector<std::uint32_t> &holders = table.adapterHolders[adapter];
     if (std::find(holders.begin(), holders.end(), index) == holders.end())
         holders.push_back(index);
 }
@@ -158,7 +158,7 @@
         entry.report.loaded = old.loaded;
     const std::vector<ExpectedAdapter> oldExpected = entry.expected;
     dropExpected(entry, now);
-    entry.sentSince = 0;
+    entry.sentSinceReport = 0;
     entry.missesSinceReport = static_cast<std::int32_t>(entry.expected.size());
     const auto dropUnlessExpected = [&](const AdapterRef &adapter) {
         if (!isLoadedOrExpected(entry, adapter))
@@ -174,13 +174,13 @@
         addHolder(table, adapter, found->second);
 }
 
-void noteSent(UpstreamTable &table, const UpstreamId &id, const AdapterRef &adapter, Instant now)
+void recordSent(UpstreamTable &table, const UpstreamId &id, const AdapterRef &adapter, Instant now)
 {
     const auto found = table.byId.find(id);
     if (found == table.byId.end())
         return;
     UpstreamEntry &entry = table.entries[found->second];
-    ++entry.sentSince;
+    ++entry.sentSinceReport;
     ++entry.inFlight;
     if (isSlow(table.groups[entry.group], entry))
         entry.probeAfter = now + probeDelay * (1LL << entry.failedProbes);
@@ -196,12 +196,12 @@
     UpstreamEntry *entry = entryOf(table, id);
     if (!entry)
         return;
-    --entry->sentSince;
+    --entry->sentSinceReport;
     entry->inFlight -= entry->inFlight > 0 ? 1 : 0;
 }
 
-void notePace(UpstreamTable &table, const UpstreamId &id, Tokens tokens, Span took,
-              std::optional<Span> held, Instant now)
+void recordPace(UpstreamTable &table, const UpstreamId &id, Tokens tokens, Span took,
+                std::optional<Span> held, Instant now)
 {
     UpstreamEntry *entry = entryOf(table, id);
     if (!entry || tokens.count <= 0)
--- a/packages/routing/tests/routing_test.cpp
+++ b/packages/routing/tests/routing_test.cpp
@@ -45,7 +45,7 @@
 std::optional<UpstreamId> choose(const UpstreamTable &table, Instant now = Instant{ 0 },
                                  std::uint64_t salt = 1)
 {
-    return chooseUpstream(table, RouteAsk{ baseModel, wanted, salt, {} }, now);
+    return chooseUpstream(table, RouteRequest{ baseModel, wanted, salt, {} }, now);
 }
 
 } // namespace
@@ -82,7 +82,7 @@
     std::map<std::string, int> sent;
     for (int request = 0; request < 20; ++request) {
         const UpstreamId chosen = *choose(table);
-        noteSent(table, chosen, wanted, Instant{ 0 });
+        recordSent(table, chosen, wanted, Instant{ 0 });
         ++sent[chosen.value];
     }
     EXPECT_NEAR(sent["e0"], sent["e1"], 1);
@@ -96,7 +96,7 @@
     for (const char *id : { "e0", "e1", "e2", "e3", "e4", "e5", "e6", "e7" })
         report(table, id, 0, false);
     const UpstreamId first = *choose(table);
-    noteSent(table, first, wanted, Instant{ 0 });
+    recordSent(table, first, wanted, Instant{ 0 });
     EXPECT_EQ(choose(table), first);
 }
 
@@ -108,16 +108,16 @@
     report(table, "e0", 0, true);
     report(table, "e1", 8, true);
     const Span took = fromSeconds(2);
-    notePace(table, UpstreamId{ "e1" }, Tokens{ 50 }, took, std::nullopt, Instant{ 0 });
-    notePace(table, UpstreamId{ "e0" }, Tokens{ 5 }, took, std::nullopt, Instant{ 0 });
+    recordPace(table, UpstreamId{ "e1" }, Tokens{ 50 }, took, std::nullopt, Instant{ 0 });
+    recordPace(table, UpstreamId{ "e0" }, Tokens{ 5 }, took, std::nullopt, Instant{ 0 });
     EXPECT_EQ(choose(table), UpstreamId{ "e1" });
     const Instant later = Instant{ 0 } + fromSeconds(60);
     EXPECT_EQ(choose(table, later), UpstreamId{ "e0" });
-    noteSent(table, UpstreamId{ "e0" }, wanted, later);
+    recordSent(table, UpstreamId{ "e0" }, wanted, later);
     EXPECT_EQ(choose(table, later), UpstreamId{ "e1" });
     noteEnded(table, UpstreamId{ "e0" });
     for (int answer = 0; answer < 10; ++answer)
-        notePace(table, UpstreamId{ "e0" }, Tokens{ 50 }, took, std::nullopt, later);
+        recordPace(table, UpstreamId{ "e0" }, Tokens{ 50 }, took, std::nullopt, later);
     EXPECT_EQ(choose(table, later), UpstreamId{ "e0" });
 }
 
@@ -181,7 +181,7 @@
     RetryBudget budget;
     int retries = 0;
     for (int request = 0; request < 10'000; ++request) {
-        countFirstTry(budget);
+        countFirstAttempt(budget);
         while (takeRetry(budget))
             ++retries;
     }
--- a/packages/scheduling/include/azurewell/scheduling/fair_queue.h
+++ b/packages/scheduling/include/azurewell/scheduling/fair_queue.h
@@ -15,14 +15,14 @@
 struct WaitingRequest
 {
     RequestId request;
-    HostId asker; ///< The host with the caller's connection.
+    HostId requester; ///< The host with the caller's connection.
     CustomerId customer;
     AdapterRef adapter;
     Tokens cost; ///< Prompt tokens and the estimated number of generated tokens.
     double weight = 1.0;
     Instant deadline;        ///< The caller does not accept an answer after this.
     Instant latestStart;     ///< If started after this, it would not end by the deadline.
-    Instant since;           ///< When it was enqueued.
+    Instant queuedAt;        ///< When it was enqueued.
     std::uint64_t order = 0; ///< Enqueue order; set by enqueue().
 };
 
@@ -111,7 +111,7 @@
 bool remove(FairQueue &queue, const RequestId &request);
 
 /// Drops customers without waiting requests whose counter no longer affects the order.
-void forgetIdle(FairQueue &queue);
+void dropIdleCustomers(FairQueue &queue);
 
 /// Removes and returns the requests whose latest start is past at \a now.
 std::vector<WaitingRequest> takeExpired(FairQueue &queue, Instant now);
--- a/packages/scheduling/include/azurewell/scheduling/shedding.h
+++ b/packages/scheduling/include/azurewell/scheduling/shedding.h
@@ -14,7 +14,7 @@
 /// Adds a sample: a request charged \a charged tokens held its slot for \a held. The charge is the
 /// caller's allowance, not the number generated: only the allowance is known when a request
 /// arrives, and the estimate includes the ratio of the two.
-void noteService(ServiceRate &rate, Tokens charged, Span held);
+void recordSlotTime(ServiceRate &rate, Tokens charged, Span held);
 
 /// The expected slot time of a request of \a cost; zero before the first sample.
 Span expectedHold(const ServiceRate &rate, Tokens cost);
--- a/packages/scheduling/src/fair_queue.cpp
+++ b/packages/scheduling/src/fair_queue.cpp
@@ -108,7 +108,7 @@
     return false;
 }
 
-void forgetIdle(FairQueue &queue)
+void dropIdleCustomers(FairQueue &queue)
 {
     const double start = initialServed(queue);
     for (std::size_t index = queue.customers.size(); index-- > 0;) {
--- a/packages/scheduling/src/shedding.cpp
+++ b/packages/scheduling/src/shedding.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void noteService(ServiceRate &rate, Tokens charged, Span held)
+void recordSlotTime(ServiceRate &rate, Tokens charged, Span held)
 {
     if (charged.count <= 0 || held <= Span{})
         return;
--- a/packages/shell/include/azurewell/shell/engine_orders.h
+++ b/packages/shell/include/azurewell/shell/engine_orders.h
@@ -19,7 +19,7 @@
     explicit EngineOrders(EventHandler handleEvent);
 
     void order(const OrderEngine &order);
-    void queryLoad(const AskLoad &query);
+    void queryLoad(const QueryLoadReport &query);
     void cancel(const CancelAttempt &attempt);
 
 private:
--- a/packages/shell/include/azurewell/shell/event_stream.h
+++ b/packages/shell/include/azurewell/shell/event_stream.h
@@ -28,7 +28,7 @@
 
 /// Appends \a bytes and removes and returns all complete events; nothing after the end marker is
 /// returned. Errors: MessageInvalid if an event is longer than maxEventBytes.
-Result<CompleteEvents> takeEvents(EventStream &stream, const QByteArray &bytes);
+Result<CompleteEvents> extractEvents(EventStream &stream, const QByteArray &bytes);
 
 /// Returns the value of the first data line in \a events, or an empty array.
 QByteArray firstData(const QByteArray &events);
--- a/packages/shell/include/azurewell/shell/traffic_worker.h
+++ b/packages/shell/include/azurewell/shell/traffic_worker.h
@@ -28,7 +28,8 @@
 /// Message from a traffic thread to the control thread.
 using TrafficReport = std::variant<Event, LocalRefusal, std::vector<AttemptProgress>>;
 /// Message from the control thread to a traffic thread.
-using TrafficOrder = std::variant<Refuse, Dispatch, CancelAttempt, AnswerHeld, AnswerNumbers>;
+using TrafficOrder
+        = std::variant<Refuse, Dispatch, CancelAttempt, AnswerFromStore, AnswerCallNumbers>;
 
 /// Callers' connections and upstream attempts of one traffic thread. Lives in that thread; the
 /// control thread calls carryOut(), drain() and finish() through queued invocations only.
@@ -42,7 +43,7 @@
 
     /// Opens the callers' port. Errors: SettingsInvalid.
     Result<std::uint16_t> start();
-    void carryOut(const TrafficOrder &order);
+    void executeOrder(const TrafficOrder &order);
     /// Begins a planned stop: all further responses carry "Connection: close".
     void drain();
     /// Closes the port; \a finished is called in this thread once every response has been sent.
@@ -70,8 +71,8 @@
     void refuse(const Refuse &refusal);
     void dispatch(const Dispatch &order);
     void cancel(const CancelAttempt &order);
-    void answerHeld(const AnswerHeld &order);
-    void answerNumbers(const AnswerNumbers &order);
+    void answerHeld(const AnswerFromStore &order);
+    void answerNumbers(const AnswerCallNumbers &order);
     void answer(const RequestId &id, const QByteArray &bytes);
     void forwardEvents(const RequestId &id, const CompleteEvents &events);
     void callerBytesWritten(const RequestId &id);
--- a/packages/shell/include/azurewell/shell/upstream_attempt.h
+++ b/packages/shell/include/azurewell/shell/upstream_attempt.h
@@ -25,10 +25,10 @@
 class UpstreamAttempt : public QObject
 {
 public:
-    /// \a hasAnswerBegun: the caller has received the beginning of a streamed response, so only the
-    /// rest of that stream may follow.
+    /// \a hasAnswerStarted: the caller has received the beginning of a streamed response, so only
+    /// the rest of that stream may follow.
     UpstreamAttempt(UpstreamPool &pool, const CallerRequest &request, const Dispatch &dispatch,
-                    bool hasAnswerBegun, Span idleTimeout, AttemptCallbacks callbacks);
+                    bool hasAnswerStarted, Span idleTimeout, AttemptCallbacks callbacks);
     ~UpstreamAttempt() override;
 
     /// Ends the attempt as Silent if nothing was received by the idle deadline.
@@ -65,7 +65,7 @@
     std::string adapter; ///< Empty for services.
     bool isStream = false;
     bool mayRunTwice = true;
-    bool hasAnswerBegun = false;
+    bool hasAnswerStarted = false;
     Tokens resumeFrom;
     bool isHeadChecked = false;
     bool isAdapterChecked = false;
--- a/packages/shell/src/caller_guard.cpp
+++ b/packages/shell/src/caller_guard.cpp
@@ -18,7 +18,7 @@
     , socket(callerSocket)
     , settings(limits)
     , reportRefusal(std::move(onRefused))
-    , deadline(monotonicNow() + limits.senderPatience)
+    , deadline(monotonicNow() + limits.requestReadTimeout)
 {
     // Connected before QHttpServer, so that the guard sees each byte first.
     QObject::connect(this->socket, &QTcpSocket::readyRead, this, [this] { this->readyRead(); });
@@ -33,7 +33,7 @@
     switch (this->phase) {
     case Phase::Idle:
         this->phase = Phase::Head;
-        this->deadline = monotonicNow() + this->settings.senderPatience;
+        this->deadline = monotonicNow() + this->settings.requestReadTimeout;
         [[fallthrough]];
     case Phase::Head:
         this->readHeadBytes(bytes);
@@ -117,7 +117,7 @@
 void CallerGuard::close()
 {
     this->phase = Phase::Closing;
-    this->deadline = monotonicNow() + this->settings.readerPatience;
+    this->deadline = monotonicNow() + this->settings.callerReadTimeout;
     this->socket->disconnectFromHost();
 }
 
@@ -168,7 +168,7 @@
         return;
     }
     const std::uint32_t maxPerThread = std::max(
-            1U, this->settings.mostConnections / this->settings.trafficThreads);
+            1U, this->settings.maxConnections / this->settings.trafficThreads);
     if (static_cast<std::uint32_t>(this->guards.size()) >= maxPerThread)
         this->removeClosed();
     if (static_cast<std::uint32_t>(this->guards.size()) >= maxPerThread) {
--- a/packages/shell/src/caller_request.cpp
+++ b/packages/shell/src/caller_request.cpp
@@ -78,7 +78,7 @@
     read.arrived.kind = RequestKind::Completion;
     read.arrived.adapter = AdapterRef{ model->get<std::string>() };
     read.arrived.promptTokens = Tokens{ read.body.size() / bytesPerToken };
-    read.arrived.mostGenerated = Tokens{ maxTokens.value() };
+    read.arrived.maxGenerated = Tokens{ maxTokens.value() };
     read.isStream = stream != body.end() && stream->get<bool>();
     return read;
 }
@@ -110,7 +110,7 @@
     if (!count)
         return count.error();
     read.arrived.kind = RequestKind::CallNumbers;
-    read.arrived.numbers = static_cast<std::uint32_t>(count.value());
+    read.arrived.callNumberCount = static_cast<std::uint32_t>(count.value());
     return read;
 }
 
--- a/packages/shell/src/control_loop.cpp
+++ b/packages/shell/src/control_loop.cpp
@@ -30,11 +30,11 @@
         this->loop.sendToWorker(cancel.request, cancel);
         this->loop.engines.cancel(cancel);
     }
-    void operator()(const AnswerHeld &answer) const
+    void operator()(const AnswerFromStore &answer) const
     {
         this->sendFinalResponse(answer.request, answer);
     }
-    void operator()(const AnswerNumbers &answer) const
+    void operator()(const AnswerCallNumbers &answer) const
     {
         this->sendFinalResponse(answer.request, answer);
     }
@@ -52,18 +52,18 @@
     {
         this->loop.engines.order(order);
     }
-    void operator()(const AskLoad &query) const
+    void operator()(const QueryLoadReport &query) const
     {
         this->loop.engines.queryLoad(query);
     }
-    void operator()(const TicketNoted &ticket) const
+    void operator()(const TicketProcessed &ticket) const
     {
         const LogLevel level = ticket.isInForce ? LogLevel::Info : LogLevel::Error;
         writeLog(
                 level, ticket.isInForce ? "ticket_in_force" : "ticket_refused",
                 { { "ticket", std::to_string(ticket.number.value) }, { "detail", ticket.detail } });
     }
-    void operator()(const LeaveProcess &) const
+    void operator()(const ExitProcess &) const
     {
         this->loop.finishWorkers();
     }
@@ -205,7 +205,7 @@
         recordEnd(this->metrics, ended->request, monotonicNow());
         this->workerByRequest.erase(ended->request);
     }
-    if (const CallerLeft *left = std::get_if<CallerLeft>(&event)) {
+    if (const CallerDisconnected *left = std::get_if<CallerDisconnected>(&event)) {
         recordEnd(this->metrics, left->request, monotonicNow());
         this->workerByRequest.erase(left->request);
     }
@@ -218,7 +218,7 @@
         return;
     TrafficWorker *traffic = this->workers[found->second].traffic;
     QMetaObject::invokeMethod(
-            traffic, [traffic, order] { traffic->carryOut(order); }, Qt::QueuedConnection);
+            traffic, [traffic, order] { traffic->executeOrder(order); }, Qt::QueuedConnection);
 }
 
 std::optional<OperationsAnswer> ControlLoop::handleOperationsRequest(const QString &path) const
@@ -227,7 +227,7 @@
         return OperationsAnswer{ 200, "text/plain", "ok\n" };
     if (path == "/readyz") {
         const bool isReady = this->state.process == ProcessState::Serving
-                && !isWithoutNews(this->state, monotonicNow());
+                && !isWithoutUpdates(this->state, monotonicNow());
         const std::size_t index = static_cast<std::size_t>(this->state.process);
         return OperationsAnswer{ isReady ? 200 : 503, "text/plain",
                                  QByteArray::fromStdString(this->state.charts.process.states[index])
@@ -258,8 +258,8 @@
     const TicketState &tickets = this->state.tickets;
     if (tickets.refused.value > 0) // later tickets are blocked by it
         json["refused_ticket"] = { { "ticket", tickets.refused.value },
-                                   { "why", tickets.refusedWhy } };
-    json["longest_without_news"] = toSeconds(inForce.fleet.longestWithoutNews);
+                                   { "why", tickets.rejectionReason } };
+    json["longest_without_news"] = toSeconds(inForce.fleet.maxUpdateAge);
     json["customers"] = nlohmann::json::array();
     for (const auto &[id, customer] : inForce.customers) {
         json["customers"].push_back({ { "id", id.value },
--- a/packages/shell/src/engine_orders.cpp
+++ b/packages/shell/src/engine_orders.cpp
@@ -75,7 +75,7 @@
     });
 }
 
-void EngineOrders::queryLoad(const AskLoad &query)
+void EngineOrders::queryLoad(const QueryLoadReport &query)
 {
     const QNetworkRequest request = requestTo(query.address, "/load", reportTimeoutMillis);
     QNetworkReply *reply = this->pool.send("GET", QByteArray::fromStdString(query.address), request,
@@ -85,7 +85,7 @@
         const bool isAnswered = reply->error() == QNetworkReply::NoError;
         LoadReported report = parseReport(query.engine,
                                           isAnswered ? reply->readAll() : QByteArray());
-        report.askedAt = query.askedAt;
+        report.queriedAt = query.queriedAt;
         this->handleEvent(report);
     });
 }
--- a/packages/shell/src/event_stream.cpp
+++ b/packages/shell/src/event_stream.cpp
@@ -26,7 +26,7 @@
     return {};
 }
 
-Result<CompleteEvents> takeEvents(EventStream &stream, const QByteArray &bytes)
+Result<CompleteEvents> extractEvents(EventStream &stream, const QByteArray &bytes)
 {
     CompleteEvents whole;
     // A separator split across reads begins with the last byte of the previous one.
--- a/packages/shell/src/metrics.cpp
+++ b/packages/shell/src/metrics.cpp
@@ -106,7 +106,8 @@
 std::string shareText(const ShareCounters &counters)
 {
     std::string text;
-    text += counterText("share_asks_total", "Asks for tokens of other hosts.", counters.asks);
+    text += counterText("share_asks_total", "Asks for tokens of other hosts.",
+                        counters.requestsSent);
     text += counterText("share_empty_grants_total", "Asks that brought nothing.",
                         counters.emptyGrants);
     text += counterText("share_late_grants_total", "Grants dropped as late or doubled.",
@@ -114,9 +115,9 @@
     text += counterText("share_borrowed_tokens_total", "Tokens borrowed.", counters.borrowedTokens);
     text += counterText("share_lent_tokens_total", "Tokens lent.", counters.lentTokens);
     text += counterText("share_doubts_total", "Pauses after which this host doubted its seat.",
-                        counters.distrusted);
+                        counters.unconfirmedPauses);
     text += counterText("share_overdue_requests_total", "Requests ended with their lent tokens.",
-                        counters.overdueRuns);
+                        counters.overdueRequests);
     return text;
 }
 
@@ -124,7 +125,7 @@
 {
     const Counters &counters = state.counters;
     std::string text;
-    text += counterText("requests_total", "Requests that arrived.", counters.arrived);
+    text += counterText("requests_total", "Requests that arrived.", counters.requestsArrived);
     text += counterText("requests_completed_total", "Requests answered whole.", counters.completed);
     text += counterText("dispatches_total", "Requests sent to an upstream, retries included.",
                         counters.dispatched);
@@ -139,7 +140,7 @@
     text += counterText("adapter_evictions_total", "Adapter evictions ordered.",
                         counters.evictionsOrdered);
     text += counterText("late_wakes_total", "Stops of this process of a second or more.",
-                        counters.lateWakes);
+                        counters.processSuspensions);
     text += counterText("leases_expired_total", "Slots that were not renewed in time.",
                         counters.leasesExpired);
     text += counterText("orders_refused_total", "Orders refused for an old fencing number.",
@@ -164,16 +165,16 @@
     text += gaugeText("ticket_refused", "The ticket that is refused and awaited, or 0.",
                       static_cast<double>(state.tickets.refused.value));
     text += counterText("call_numbers_issued_total", "Call numbers issued.",
-                        state.calls.numbersIssued);
+                        state.calls.callNumbersIssued);
     text += counterText("call_issuers_silent_total",
                         "Calls whose number's issuer did not answer in time.",
-                        state.calls.unreachable);
+                        state.calls.unreachableIssuers);
     text += gaugeText("call_records", "Calls that this instance remembers.",
                       static_cast<double>(state.calls.ledger.records));
     text += gaugeText("open_requests", "Requests on their way.",
                       static_cast<double>(state.requests.size()));
     text += gaugeText("kept_engines", "Engines this host keeps.",
-                      static_cast<double>(state.kept.size()));
+                      static_cast<double>(state.coordinatedEngines.size()));
     text += histogramText("admission_seconds", "From arrival to the first dispatch.",
                           metrics.admissionSeconds, metrics.admissionSum);
     text += histogramText("request_seconds", "From arrival to the end of the answer.",
--- a/packages/shell/src/peer_frame.cpp
+++ b/packages/shell/src/peer_frame.cpp
@@ -38,10 +38,10 @@
                      const PeerMessage &message)
 {
     const QByteArray payload = QByteArray::fromStdString(
-            encodeFrame(message).substr(frameHeadBytes));
+            encodeFrame(message).substr(frameHeaderBytes));
     QByteArray serialText(serialBytes, '\0');
     qToBigEndian<quint64>(serial, serialText.data());
-    QByteArray length(static_cast<qsizetype>(frameHeadBytes), '\0');
+    QByteArray length(static_cast<qsizetype>(frameHeaderBytes), '\0');
     qToBigEndian<quint32>(static_cast<quint32>(sealBytes + payload.size()), length.data());
     return length + serialText + computeMac(key, receiver, serialText, payload) + payload;
 }
--- a/packages/shell/src/peer_links.cpp
+++ b/packages/shell/src/peer_links.cpp
@@ -73,7 +73,7 @@
             continue;
         }
         // Buffers at most one frame of a sender that writes without end.
-        socket->setReadBufferSize(longestFrame + frameHeadBytes + sealBytes);
+        socket->setReadBufferSize(maxFrameBytes + frameHeaderBytes + sealBytes);
         this->idleDeadlines[socket] = monotonicNow() + incomingIdleTimeout;
         QObject::connect(socket, &QTcpSocket::readyRead, this,
                          [this, socket] { this->readFrames(socket); });
@@ -107,17 +107,17 @@
 void PeerLinks::readFrames(QTcpSocket *socket)
 {
     bool hasRead = false;
-    while (socket->bytesAvailable() >= static_cast<qint64>(frameHeadBytes)) {
-        const QByteArray head = socket->peek(frameHeadBytes);
+    while (socket->bytesAvailable() >= static_cast<qint64>(frameHeaderBytes)) {
+        const QByteArray head = socket->peek(frameHeaderBytes);
         const Result<std::uint32_t> length = frameLength(
-                std::string_view(head.constData(), frameHeadBytes));
+                std::string_view(head.constData(), frameHeaderBytes));
         if (!length) {
             this->refuse(socket, length.error().detail);
             return;
         }
-        if (socket->bytesAvailable() < static_cast<qint64>(frameHeadBytes) + length.value())
+        if (socket->bytesAvailable() < static_cast<qint64>(frameHeaderBytes) + length.value())
             break;
-        socket->skip(frameHeadBytes);
+        socket->skip(frameHeaderBytes);
         this->handleFrame(socket, socket->read(length.value()));
         if (socket->state() != QAbstractSocket::ConnectedState)
             return;
@@ -126,7 +126,7 @@
     if (!hasRead)
         return;
     this->idleDeadlines[socket] = monotonicNow() + incomingIdleTimeout;
-    socket->write(QByteArray(frameHeadBytes, '\0'));
+    socket->write(QByteArray(frameHeaderBytes, '\0'));
 }
 
 /// Whether the frame is a replay: a recorded frame passes authentication again.
--- a/packages/shell/src/platform_watcher.cpp
+++ b/packages/shell/src/platform_watcher.cpp
@@ -105,7 +105,7 @@
             QTimer::singleShot(retryDelayMillis, this, [this, &watch] { this->watch(watch); });
             return;
         }
-        this->handleEvent(PlatformHeard{});
+        this->handleEvent(PlatformResponded{});
         const QByteArray index = reply->rawHeader("X-Consul-Index");
         const bool hasChanged = index != watch.index;
         watch.index = index.isEmpty() ? QByteArray("0") : index;
--- a/packages/shell/src/settings.cpp
+++ b/packages/shell/src/settings.cpp
@@ -66,7 +66,7 @@
 {
     const Result<Endpoint> endpoint = parseEndpoint(reader.text(key));
     if (!endpoint) {
-        reader.complain(key, endpoint.error().detail);
+        reader.reportError(key, endpoint.error().detail);
         return {};
     }
     return endpoint.value();
@@ -79,7 +79,7 @@
     if (key == none)
         return {};
     if (key.size() < minPeerKeyLength)
-        reader.complain("peer_key", "must have at least 16 characters");
+        reader.reportError("peer_key", "must have at least 16 characters");
     return key;
 }
 
@@ -93,7 +93,7 @@
     if (level == "warning")
         return LogLevel::Warning;
     if (level != "error")
-        reader.complain("log_level", "must be debug, info, warning or error");
+        reader.reportError("log_level", "must be debug, info, warning or error");
     return LogLevel::Error;
 }
 
@@ -103,15 +103,18 @@
             reader.number("most_body_bytes", 1, maxBytes, 1 << 20));
     settings.maxHeadBytes = static_cast<std::uint64_t>(
             reader.number("most_head_bytes", 256, maxBytes, 16384));
-    settings.mostConnections = static_cast<std::uint32_t>(
+    settings.maxConnections = static_cast<std::uint32_t>(
             reader.number("most_connections", 1, 1e6, 4096));
-    settings.senderPatience = fromSeconds(reader.number("sender_patience_s", 0.1, maxSeconds, 10));
+    settings.requestReadTimeout = fromSeconds(
+            reader.number("sender_patience_s", 0.1, maxSeconds, 10));
     settings.keepAlive = fromSeconds(reader.number("keep_alive_s", 0.1, maxSeconds, 60));
     settings.defaultRequestTimeout = fromSeconds(
             reader.number("request_patience_s", 0.1, maxSeconds, 120));
-    settings.readerPatience = fromSeconds(reader.number("reader_patience_s", 0.1, maxSeconds, 10));
+    settings.callerReadTimeout = fromSeconds(
+            reader.number("reader_patience_s", 0.1, maxSeconds, 10));
     settings.drainGrace = fromSeconds(reader.number("drain_grace_s", 0, maxSeconds, 4));
-    settings.upstreamIdle = fromSeconds(reader.number("upstream_idle_s", 0.1, maxSeconds, 15));
+    settings.upstreamIdleTimeout = fromSeconds(
+            reader.number("upstream_idle_s", 0.1, maxSeconds, 15));
 }
 
 } // namespace
--- a/packages/shell/src/traffic_worker.cpp
+++ b/packages/shell/src/traffic_worker.cpp
@@ -28,7 +28,7 @@
 /// Returns the response stored for repeats of the call; empty if it is too long.
 HeldAnswer heldAnswerOf(const UpstreamAttempt &attempt)
 {
-    if (attempt.body.size() > static_cast<qsizetype>(longestHeldAnswer))
+    if (attempt.body.size() > static_cast<qsizetype>(maxHeldAnswerBytes))
         return {};
     return HeldAnswer{ attempt.status, attempt.contentType.toStdString(),
                        attempt.body.toStdString() };
@@ -144,7 +144,7 @@
         guard->responseSent();
 }
 
-void TrafficWorker::carryOut(const TrafficOrder &order)
+void TrafficWorker::executeOrder(const TrafficOrder &order)
 {
     if (const Refuse *refusal = std::get_if<Refuse>(&order))
         this->refuse(*refusal);
@@ -152,9 +152,9 @@
         this->dispatch(*toSend);
     else if (const CancelAttempt *toCancel = std::get_if<CancelAttempt>(&order))
         this->cancel(*toCancel);
-    else if (const AnswerHeld *held = std::get_if<AnswerHeld>(&order))
+    else if (const AnswerFromStore *held = std::get_if<AnswerFromStore>(&order))
         this->answerHeld(*held);
-    else if (const AnswerNumbers *numbers = std::get_if<AnswerNumbers>(&order))
+    else if (const AnswerCallNumbers *numbers = std::get_if<AnswerCallNumbers>(&order))
         this->answerNumbers(*numbers);
 }
 
@@ -208,8 +208,8 @@
         this->attemptEnded(id, outcome);
     };
     exchange.attempt = std::make_unique<UpstreamAttempt>(
-            this->pool, exchange.request, order, exchange.isHeadSent, this->settings.upstreamIdle,
-            std::move(callbacks));
+            this->pool, exchange.request, order, exchange.isHeadSent,
+            this->settings.upstreamIdleTimeout, std::move(callbacks));
 }
 
 void TrafficWorker::cancel(const CancelAttempt &order)
@@ -234,7 +234,7 @@
     this->endExchange(id);
 }
 
-void TrafficWorker::answerHeld(const AnswerHeld &order)
+void TrafficWorker::answerHeld(const AnswerFromStore &order)
 {
     const HeldAnswer &held = order.answer;
     const QByteArray body = QByteArray::fromStdString(held.body);
@@ -244,7 +244,7 @@
                          + body);
 }
 
-void TrafficWorker::answerNumbers(const AnswerNumbers &order)
+void TrafficWorker::answerNumbers(const AnswerCallNumbers &order)
 {
     QByteArray body;
     for (const CallNumber &number : order.numbers)
@@ -266,7 +266,7 @@
     exchange.delivered += events.tokens;
     if (exchange.socket->bytesToWrite() > maxUnsentBytes) {
         exchange.attempt->pause();
-        exchange.readerDeadline = monotonicNow() + this->settings.readerPatience;
+        exchange.readerDeadline = monotonicNow() + this->settings.callerReadTimeout;
     }
 }
 
@@ -372,7 +372,7 @@
     this->report(std::vector<AttemptProgress>{
             AttemptProgress{ id, exchange.attemptNumber, exchange.delivered } });
     this->exchanges.erase(found); // aborts the attempt, which closes the connection to the engine
-    this->report(Event{ CallerLeft{ id } });
+    this->report(Event{ CallerDisconnected{ id } });
 }
 
 /// Disconnects callers that do not read their stream, as they occupy a slot that others wait for.
--- a/packages/shell/src/upstream_attempt.cpp
+++ b/packages/shell/src/upstream_attempt.cpp
@@ -73,7 +73,7 @@
     , adapter(request.arrived.adapter.value)
     , isStream(request.isStream)
     , mayRunTwice(dispatch.mayRunTwice)
-    , hasAnswerBegun(hasBegun)
+    , hasAnswerStarted(hasBegun)
     , resumeFrom(dispatch.resumeFrom)
     , idleTimeout(limit)
     , idleDeadline(monotonicNow() + limit)
@@ -175,7 +175,7 @@
 
 void UpstreamAttempt::readStream(const QByteArray &bytes)
 {
-    const Result<CompleteEvents> whole = takeEvents(this->events, bytes);
+    const Result<CompleteEvents> whole = extractEvents(this->events, bytes);
     if (!whole) {
         this->end(AttemptOutcome::Failed);
         return;
@@ -201,7 +201,7 @@
     // the host has already checked that the customer owns that adapter.
     if ((isRefusal && this->mayRunTwice) || (isEngine && this->status == 404))
         return AttemptOutcome::Refused;
-    if (this->hasAnswerBegun || (isEngine && this->status >= 500))
+    if (this->hasAnswerStarted || (isEngine && this->status >= 500))
         return AttemptOutcome::Failed;
     if (isEngine && this->status == 200 && !this->isResponseOfAdapter(this->body))
         return AttemptOutcome::Mismatch;
--- a/packages/tickets/include/azurewell/tickets/json_reader.h
+++ b/packages/tickets/include/azurewell/tickets/json_reader.h
@@ -41,7 +41,7 @@
     /// Records an error for any key not in \a known, so that misspelt keys are not ignored.
     void allowOnly(std::initializer_list<std::string_view> known);
     /// Records an error at \a key, unless there is an earlier one.
-    void complain(const std::string &key, const std::string &what);
+    void reportError(const std::string &key, const std::string &what);
 
 private:
     const nlohmann::json *find(const char *key) const;
--- a/packages/tickets/include/azurewell/tickets/records.h
+++ b/packages/tickets/include/azurewell/tickets/records.h
@@ -80,7 +80,7 @@
 {
     /// A host that has received no update from the configuration service for this long, directly or
     /// through other hosts, rejects new requests, as a key may have been withdrawn. Zero: no limit.
-    Span longestWithoutNews{};
+    Span maxUpdateAge{};
     TicketNumber ticket;
 };
 
--- a/packages/tickets/src/json_reader.cpp
+++ b/packages/tickets/src/json_reader.cpp
@@ -35,10 +35,10 @@
     , firstError(&error)
 {
     if (!object.is_object())
-        this->complain("", "must be an object");
+        this->reportError("", "must be an object");
 }
 
-void JsonReader::complain(const std::string &key, const std::string &what)
+void JsonReader::reportError(const std::string &key, const std::string &what)
 {
     if (this->firstError->empty())
         *this->firstError = this->pathOf(key) + ": " + what;
@@ -63,7 +63,7 @@
 {
     const auto *value = this->find(key);
     if (!value || !value->is_string() || value->get_ref<const std::string &>().empty()) {
-        this->complain(key, "must be a string that is not empty");
+        this->reportError(key, "must be a string that is not empty");
         return {};
     }
     return value->get<std::string>();
@@ -79,7 +79,7 @@
     const auto *value = this->find(key);
     const bool isNumber = value && value->is_number();
     if (!isNumber || value->get<double>() < min || value->get<double>() > max) {
-        this->complain(key, rangeText(min, max));
+        this->reportError(key, rangeText(min, max));
         return min;
     }
     return value->get<double>();
@@ -96,7 +96,7 @@
     if (!value)
         return fallback;
     if (!value->is_boolean()) {
-        this->complain(key, "must be true or false");
+        this->reportError(key, "must be true or false");
         return fallback;
     }
     return value->get<bool>();
@@ -109,14 +109,14 @@
     if (!array)
         return values;
     if (!array->is_array()) {
-        this->complain(key, "must be a list of strings");
+        this->reportError(key, "must be a list of strings");
         return values;
     }
     for (const auto &value : *array) {
         if (value.is_string())
             values.push_back(value.get<std::string>());
         else
-            this->complain(key, "must be a list of strings");
+            this->reportError(key, "must be a list of strings");
     }
     return values;
 }
@@ -128,7 +128,7 @@
     if (!array)
         return readers;
     if (!array->is_array()) {
-        this->complain(key, "must be a list of objects");
+        this->reportError(key, "must be a list of objects");
         return readers;
     }
     for (std::size_t index = 0; index < array->size(); ++index) {
@@ -155,7 +155,7 @@
         return;
     for (const auto &item : this->source->items()) {
         if (std::find(known.begin(), known.end(), item.key()) == known.end())
-            this->complain(item.key(), "is not a known key");
+            this->reportError(item.key(), "is not a known key");
     }
 }
 
--- a/packages/tickets/src/snapshot.cpp
+++ b/packages/tickets/src/snapshot.cpp
@@ -166,8 +166,7 @@
                   { "set", std::move(writer.sets) } };
     if (number == 0) {
         segment["history"] = historyOf(state);
-        segment["set"]["fleet"] = { { "longest_without_news",
-                                      toSeconds(state.fleet.longestWithoutNews) },
+        segment["set"]["fleet"] = { { "longest_without_news", toSeconds(state.fleet.maxUpdateAge) },
                                     { "ticket", state.fleet.ticket.value } };
     }
     return segment.dump(-1, ' ', false, json::error_handler_t::replace);
