--- a/packages/tickets/src/ticket_parser.cpp
+++ b/packages/tickets/src/ticket_parser.cpp
@@ -15,7 +15,8 @@
 {
     const double number = reader.number("ticket", 0, maxTicketNumber, 0.0);
     if (!source.isSnapshot && number > 0)
-        reader.complain("ticket", "is not allowed here; a record's ticket is the one that sets it");
+        reader.reportError("ticket",
+                           "is not allowed here; a record's ticket is the one that sets it");
     return source.isSnapshot ? TicketNumber{ static_cast<std::uint64_t>(number) } : source.ticket;
 }
 
@@ -40,11 +41,12 @@
     key.hash = KeyHash{ reader.text("sha256") };
     if (key.hash.value.size() != hashLength
         || key.hash.value.find_first_not_of("0123456789abcdef") != std::string::npos)
-        reader.complain("sha256", "must be 64 lower-case hexadecimal digits, never the key itself");
+        reader.reportError("sha256",
+                           "must be 64 lower-case hexadecimal digits, never the key itself");
     key.customer = CustomerId{ reader.text("customer") };
     const std::string state = reader.text("state");
     if (state != "issued" && state != "withdrawn")
-        reader.complain("state", "must be \"issued\" or \"withdrawn\"");
+        reader.reportError("state", "must be \"issued\" or \"withdrawn\"");
     key.state = state == "withdrawn" ? KeyState::Withdrawn : KeyState::Issued;
     key.ticket = readRecordTicket(reader, source);
     return key;
@@ -57,9 +59,9 @@
     adapter.ref = AdapterRef{ reader.text("adapter") };
     const std::size_t at = adapter.ref.value.find('@');
     if (at == std::string::npos || at == 0 || at + 1 == adapter.ref.value.size())
-        reader.complain("adapter", "must be written name@version");
+        reader.reportError("adapter", "must be written name@version");
     if (adapter.ref.value.size() > maxAdapterRefLength)
-        reader.complain("adapter", "must have at most 200 characters");
+        reader.reportError("adapter", "must have at most 200 characters");
     adapter.customer = CustomerId{ reader.text("customer") };
     adapter.baseModel = reader.text("base");
     adapter.ticket = readRecordTicket(reader, source);
@@ -74,7 +76,7 @@
     upstream.id = UpstreamId{ reader.text("id") };
     const std::string kind = reader.text("kind");
     if (kind != "engine" && kind != "service")
-        reader.complain("kind", "must be \"engine\" or \"service\"");
+        reader.reportError("kind", "must be \"engine\" or \"service\"");
     upstream.kind = kind == "service" ? UpstreamKind::Service : UpstreamKind::Engine;
     upstream.zone = ZoneId{ reader.text("zone") };
     upstream.address = reader.text("address");
@@ -126,7 +128,7 @@
 {
     reader.allowOnly({ "ticket", "longest_without_news" });
     FleetSettings fleet;
-    fleet.longestWithoutNews = fromSeconds(
+    fleet.maxUpdateAge = fromSeconds(
             reader.number("longest_without_news", 0, maxSecondsWithoutUpdate));
     fleet.ticket = readRecordTicket(reader, source);
     return fleet;
--- a/programs/azurewellctl/explain_command.cpp
+++ b/programs/azurewellctl/explain_command.cpp
@@ -22,7 +22,7 @@
     std::vector<std::string> files;
     std::string request;
     std::string digest;
-    Expectation expected;
+    LatencyTargets expected;
 };
 
 using Counts = std::vector<std::pair<std::string, std::uint64_t>>;
@@ -47,10 +47,10 @@
 {
     for (const auto &[path, counts] : summary.byPath)
         printCounts(path.empty() ? "(no path)" : path, counts, counts.size());
-    printCounts("lost, by upstream", summary.lostAtUpstream, maxListed);
-    printCounts("lost, by adapter", summary.lostOfAdapter, maxListed);
-    if (summary.linesUnread > 0)
-        fmt::print(stderr, "{} lines could not be parsed as log lines\n", summary.linesUnread);
+    printCounts("lost, by upstream", summary.failuresByUpstream, maxListed);
+    printCounts("lost, by adapter", summary.failuresByAdapter, maxListed);
+    if (summary.unparsedLines > 0)
+        fmt::print(stderr, "{} lines could not be parsed as log lines\n", summary.unparsedLines);
 }
 
 bool isSingleRequest(const ExplainSettings &settings)
@@ -108,10 +108,10 @@
                         "Only print the lines of the request with this id");
     command->add_option("--digest", settings->digest,
                         "Only print the lines of all sends of the request with this digest");
-    command->add_option("--first-ms", settings->expected.firstMillis,
+    command->add_option("--first-ms", settings->expected.firstEventMillis,
                         "A first event after this is late")
             ->check(CLI::PositiveNumber);
-    command->add_option("--pause-ms", settings->expected.pauseMillis,
+    command->add_option("--pause-ms", settings->expected.maxPauseMillis,
                         "A pause between events above this makes an answer late")
             ->check(CLI::PositiveNumber);
     command->callback([settings, &exitCode] { exitCode = explain(*settings); });
--- a/programs/azurewellctl/ticket_state_commands.cpp
+++ b/programs/azurewellctl/ticket_state_commands.cpp
@@ -157,8 +157,7 @@
                  fmt::format("{} seats", zone.seats));
     if (ticket.fleet)
         fmt::print("~ fleet: longest without news {} s, was {} s\n",
-                   toSeconds(ticket.fleet->longestWithoutNews),
-                   toSeconds(state.fleet.longestWithoutNews));
+                   toSeconds(ticket.fleet->maxUpdateAge), toSeconds(state.fleet.maxUpdateAge));
 }
 
 void printRemovals(const Ticket &ticket)
--- a/standins/include/azurewell/standins/platform.h
+++ b/standins/include/azurewell/standins/configuration_service.h
@@ -11,10 +11,10 @@
 
 /// Stand-in for the read-only configuration service: a key-value store with blocking reads like
 /// Consul's KV store.
-class Platform : public StandinServer
+class ConfigurationService : public StandinServer
 {
 public:
-    Platform();
+    ConfigurationService();
 
     /// Publishes a value.
     void publish(const QByteArray &key, const QByteArray &value);
--- a/standins/include/azurewell/standins/engine.h
+++ b/standins/include/azurewell/standins/engine.h
@@ -16,15 +16,15 @@
 /// Faults of an engine that a test can enable.
 struct EngineFaults
 {
-    int closeAfterTokens = -1;      ///< Closes each stream after this many tokens.
-    int silentAfterTokens = -1;     ///< Stops sending after this many tokens, connection open.
-    bool crossesAnswers = false;    ///< Responses carry the ID of another request.
-    bool omitsId = false;           ///< Responses carry no request ID.
-    bool answersOtherModel = false; ///< Responses name another adapter.
-    bool ignoresResume = false;     ///< Restarts a resumed stream at its first token.
-    std::string tokenSuffix;        ///< Appended to each token's text.
-    bool refuses = false;           ///< 503 to everything.
-    int failLoads = 0;              ///< Number of loads that will fail.
+    int closeAfterTokens = -1;         ///< Closes each stream after this many tokens.
+    int stallAfterTokens = -1;         ///< Stops sending after this many tokens, connection open.
+    bool mismatchesRequestIds = false; ///< Responses carry the ID of another request.
+    bool omitsId = false;              ///< Responses carry no request ID.
+    bool respondsAsOtherModel = false; ///< Responses name another adapter.
+    bool ignoresResume = false;        ///< Restarts a resumed stream at its first token.
+    std::string tokenSuffix;           ///< Appended to each token's text.
+    bool refuses = false;              ///< 503 to everything.
+    int failLoads = 0;                 ///< Number of loads that will fail.
 };
 
 struct EngineOptions
@@ -46,9 +46,9 @@
     /// Simulates a restart: all streams end and no adapter is loaded.
     void restartCold();
     /// Stops sending on all running streams, with their connections open; new streams work.
-    void silenceConnections();
+    void stallStreams();
     /// Silently unloads all adapters.
-    void forgetAdapters();
+    void dropAdapters();
     std::size_t runningCount() const
     {
         return this->running.size() + this->queued.size();
@@ -57,10 +57,10 @@
     EngineFaults faults;
     std::uint64_t completed = 0;
     std::uint64_t cancelled = 0;
-    std::uint64_t tokensMade = 0;
-    std::uint64_t unloadedWhileServing = 0;   ///< Must stay 0: evictions of an adapter in use.
+    std::uint64_t tokensGenerated = 0;
+    std::uint64_t unloadsWhileServing = 0;    ///< Must stay 0: evictions of an adapter in use.
     std::uint64_t missingAdapterRequests = 0; ///< Requests for an adapter that is not loaded.
-    std::uint64_t keysSeen = 0; ///< Must stay 0: requests that carried a caller's key.
+    std::uint64_t requestsWithKey = 0; ///< Must stay 0: requests that carried a caller's key.
     std::map<std::string, std::uint64_t> tokensByAdapter;
 
 protected:
--- a/standins/include/azurewell/standins/plain_service.h
+++ b/standins/include/azurewell/standins/plain_service.h
@@ -11,11 +11,11 @@
 class PlainService : public StandinServer
 {
 public:
-    bool closesWithoutAnswer = false; ///< Runs the call, then closes the connection.
-    bool closesAfterHalfAnswer = false;
-    int answerMillis = 0; ///< Delay between running the call and responding.
+    bool closesWithoutResponse = false; ///< Runs the call, then closes the connection.
+    bool closesMidResponse = false;
+    int responseDelayMillis = 0; ///< Delay between running the call and responding.
     std::uint64_t runs = 0;
-    std::uint64_t keysSeen = 0;
+    std::uint64_t requestsWithKey = 0;
     std::map<std::string, std::uint64_t>
             runsByBody; ///< A value above 1 is a call that ran more than once.
 
--- a/standins/include/azurewell/standins/standin_fleet.h
+++ b/standins/include/azurewell/standins/standin_fleet.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "azurewell/standins/configuration_service.h"
 #include "azurewell/standins/engine.h"
 #include "azurewell/standins/plain_service.h"
-#include "azurewell/standins/platform.h"
 
 #include "azurewell/units/result.h"
 
@@ -15,7 +15,7 @@
 /// Stand-ins for all external systems, in one process.
 struct StandinFleet
 {
-    std::unique_ptr<Platform> platform;
+    std::unique_ptr<ConfigurationService> platform;
     std::shared_ptr<WeightStore> store;
     std::vector<std::unique_ptr<Engine>> engines;
     std::vector<std::unique_ptr<PlainService>> services;
--- a/standins/src/platform.cpp
+++ b/standins/src/configuration_service.cpp
@@ -1,4 +1,4 @@
-#include "azurewell/standins/platform.h"
+#include "azurewell/standins/configuration_service.h"
 
 #include "azurewell/http/clock.h"
 
@@ -14,25 +14,25 @@
 
 } // namespace
 
-Platform::Platform()
+ConfigurationService::ConfigurationService()
 {
     QObject::connect(&this->timer, &QTimer::timeout, this, [this] { this->answerWaiters(); });
     this->timer.start(waiterCheckMillis);
 }
 
-void Platform::publish(const QByteArray &key, const QByteArray &value)
+void ConfigurationService::publish(const QByteArray &key, const QByteArray &value)
 {
     this->values[key] = Value{ value, ++this->index };
 }
 
-void Platform::publishTicket(std::uint64_t number, const QByteArray &text)
+void ConfigurationService::publishTicket(std::uint64_t number, const QByteArray &text)
 {
     const QByteArray name = QByteArray::number(static_cast<quint64>(number));
     this->publish("azurewell/tickets/" + name, text);
     this->publish("azurewell/tickets/head", name);
 }
 
-void Platform::onRequest(const QHttpServerRequest &request, QTcpSocket *socket)
+void ConfigurationService::onRequest(const QHttpServerRequest &request, QTcpSocket *socket)
 {
     ++this->calls;
     if (this->isDown) {
@@ -57,7 +57,7 @@
     this->waiters.push_back(Waiter{ key, known, socket, until });
 }
 
-void Platform::answerWaiters()
+void ConfigurationService::answerWaiters()
 {
     const qint64 now = monotonicNow().micros;
     for (auto waiter = this->waiters.begin(); waiter != this->waiters.end();) {
@@ -70,7 +70,7 @@
     }
 }
 
-void Platform::reply(QTcpSocket *socket, const QByteArray &key)
+void ConfigurationService::reply(QTcpSocket *socket, const QByteArray &key)
 {
     const auto value = this->values.find(key);
     const bool isFound = value != this->values.end();
--- a/standins/src/engine.cpp
+++ b/standins/src/engine.cpp
@@ -70,13 +70,13 @@
     ++this->startNumber;
 }
 
-void Engine::silenceConnections()
+void Engine::stallStreams()
 {
     for (const std::unique_ptr<Sequence> &sequence : this->running)
         sequence->isSilent = true;
 }
 
-void Engine::forgetAdapters()
+void Engine::dropAdapters()
 {
     this->adapters.clear();
 }
@@ -85,7 +85,7 @@
 {
     const QString path = request.url().path();
     if (!request.value("authorization").isEmpty())
-        ++this->keysSeen;
+        ++this->requestsWithKey;
     if (path == "/load")
         this->report(socket);
     else if (this->faults.refuses)
@@ -109,7 +109,7 @@
     const nlohmann::json body = bodyOf(request);
     std::unique_ptr<Sequence> sequence = std::make_unique<Sequence>();
     sequence->id = request.value("x-request-id");
-    if (this->faults.crossesAnswers)
+    if (this->faults.mismatchesRequestIds)
         sequence->id += "-other";
     sequence->adapter = body.value("model", "");
     sequence->socket = socket;
@@ -167,7 +167,7 @@
         return;
     const std::string name = bodyOf(request).value("lora_name", "");
     if (this->isServing(name))
-        ++this->unloadedWhileServing;
+        ++this->unloadsWhileServing;
     this->adapters.erase(name);
     answer(socket, 200, "{}");
 }
@@ -236,8 +236,8 @@
         return true;
     if (sequence.isSilent)
         return false;
-    if (this->faults.silentAfterTokens >= 0
-        && sequence.generatedTokens >= this->faults.silentAfterTokens)
+    if (this->faults.stallAfterTokens >= 0
+        && sequence.generatedTokens >= this->faults.stallAfterTokens)
         return false;
     const RequestId id{ sequence.id.toStdString() };
     if (this->faults.closeAfterTokens >= 0
@@ -246,9 +246,9 @@
         sequence.socket->disconnectFromHost();
         return true;
     }
-    ++this->tokensMade;
+    ++this->tokensGenerated;
     ++this->tokensByAdapter[sequence.adapter];
-    const std::string model = this->faults.answersOtherModel ? "other@1" : sequence.adapter;
+    const std::string model = this->faults.respondsAsOtherModel ? "other@1" : sequence.adapter;
     const std::string text = model + "#" + std::to_string(sequence.generatedTokens++) + " "
             + this->faults.tokenSuffix;
     if (sequence.isStream) {
--- a/standins/src/plain_service.cpp
+++ b/standins/src/plain_service.cpp
@@ -10,17 +10,17 @@
 void PlainService::onRequest(const QHttpServerRequest &request, QTcpSocket *socket)
 {
     if (!request.value("authorization").isEmpty())
-        ++this->keysSeen;
+        ++this->requestsWithKey;
     ++this->runs;
     ++this->runsByBody[request.body().toStdString()];
-    if (this->closesWithoutAnswer) {
+    if (this->closesWithoutResponse) {
         socket->disconnectFromHost();
         return;
     }
     const nlohmann::json json{ { "run", this->runs },
                                { "path", request.url().path().toStdString() } };
     const QByteArray body = QByteArray::fromStdString(json.dump());
-    if (this->closesAfterHalfAnswer) {
+    if (this->closesMidResponse) {
         socket->write("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n" + body);
         socket->disconnectFromHost();
         return;
@@ -28,7 +28,7 @@
     const QPointer<QTcpSocket> caller = socket;
     const QByteArray id = request.value("x-request-id");
     const bool closes = request.value("connection").toLower() == "close";
-    QTimer::singleShot(this->answerMillis, this, [caller, body, id, closes] {
+    QTimer::singleShot(this->responseDelayMillis, this, [caller, body, id, closes] {
         if (!caller)
             return;
         answer(caller, 200, body, id);
--- a/standins/src/standin_fleet.cpp
+++ b/standins/src/standin_fleet.cpp
@@ -26,7 +26,8 @@
     return static_cast<std::uint16_t>(reader.number("port", 0, maxPort));
 }
 
-Result<std::uint16_t> publishFiles(Platform &platform, JsonReader &settings, const QDir &directory)
+Result<std::uint16_t> publishFiles(ConfigurationService &platform, JsonReader &settings,
+                                   const QDir &directory)
 {
     const Result<QByteArray> hosts = readFile(
             directory.filePath(QString::fromStdString(settings.text("hosts"))));
@@ -62,7 +63,7 @@
     StandinFleet fleet;
     fleet.store = std::make_shared<WeightStore>(reader.number("loads_per_second", 0.01, 1000, 4));
     JsonReader platform = reader.object("platform");
-    fleet.platform = std::make_unique<Platform>();
+    fleet.platform = std::make_unique<ConfigurationService>();
     bool isListening = fleet.platform->listen(portOf(platform)) != 0;
     for (JsonReader &engine : reader.objects("engines")) {
         EngineOptions options;
--- a/tests/gateway_world/gateway_world_test.cpp
+++ b/tests/gateway_world/gateway_world_test.cpp
@@ -47,7 +47,7 @@
     World world{ WorldSettings{} };
     world.runFor(std::chrono::seconds(40));
     EXPECT_EQ(firstViolation(world), "");
-    EXPECT_GT(world.answered, world.asked * 93 / 100);
+    EXPECT_GT(world.answered, world.requestsSent * 93 / 100);
     EXPECT_LT(quantile(world.startDelaySeconds, 0.95), 0.75);
     EXPECT_LT(world.unloadsWhileInUse, world.unloads * 3 / 100);
 }
@@ -62,7 +62,7 @@
     World world{ settings };
     world.runFor(std::chrono::seconds(40));
     EXPECT_EQ(firstViolation(world), "");
-    EXPECT_GT(world.answered, world.asked * 95 / 100);
+    EXPECT_GT(world.answered, world.requestsSent * 95 / 100);
     EXPECT_LT(quantile(world.startDelaySeconds, 0.9), 0.36);
     EXPECT_LT(world.rejectedNotReady, world.loads / 6);
 }
@@ -76,7 +76,7 @@
     World world{ settings };
     world.runFor(std::chrono::seconds(30));
     EXPECT_EQ(firstViolation(world), "");
-    EXPECT_GT(world.answered, world.asked * 60 / 100);
+    EXPECT_GT(world.answered, world.requestsSent * 60 / 100);
     EXPECT_LT(quantile(world.startDelaySeconds, 0.95), 1.2);
 }
 
@@ -113,10 +113,10 @@
         world.restartEngine(engine);
     world.runFor(std::chrono::seconds(10));
     const std::uint64_t answered = world.answered;
-    const std::uint64_t sentBefore = world.asked;
+    const std::uint64_t sentBefore = world.requestsSent;
     world.runFor(std::chrono::seconds(10));
     EXPECT_EQ(firstViolation(world), "");
-    EXPECT_GT(world.answered - answered, (world.asked - sentBefore) * 93 / 100);
+    EXPECT_GT(world.answered - answered, (world.requestsSent - sentBefore) * 93 / 100);
 }
 
 // Guards against a restarted engine that serves nothing for the whole load timeout because the
@@ -148,7 +148,7 @@
     World world{ settings };
     world.runFor(std::chrono::seconds(40));
     EXPECT_EQ(firstViolation(world), "");
-    EXPECT_GT(world.answered, world.asked * 88 / 100);
+    EXPECT_GT(world.answered, world.requestsSent * 88 / 100);
 }
 
 TEST(GatewayWorld, ControlTrafficOfASmallFleetIsBounded)
@@ -192,7 +192,7 @@
     settings.enginesPerZone = 30;
     settings.requestsPerSecond = 400;
     settings.adapters = 2000;
-    settings.loadsAtOnce = 48;
+    settings.fullSpeedLoads = 48;
     return settings;
 }
 
@@ -226,10 +226,10 @@
     EXPECT_LT((world.messages - messages) / hostSeconds, 280U);
     EXPECT_LT((world.messageBytes - bytes) / hostSeconds, 45'000U);
     EXPECT_LT((world.reports - reports) / (world.engineCount() * seconds), 12U);
-    EXPECT_GT(world.answered, world.asked * 80 / 100);
+    EXPECT_GT(world.answered, world.requestsSent * 80 / 100);
     EXPECT_LT(world.unloadsWhileInUse, world.unloads * 3 / 100);
     for (std::size_t host = 0; host < world.hostCount(); ++host) {
-        EXPECT_EQ(countHeard(world.hostState(host).members, world.now), world.hostCount() - 1);
+        EXPECT_EQ(countReachable(world.hostState(host).members, world.now), world.hostCount() - 1);
     }
 }
 
@@ -280,7 +280,7 @@
     std::set<std::size_t> relays;
     for (std::size_t host = 0; host < world.hostCount(); ++host) {
         Members members = world.hostState(host).members;
-        const Member *relay = askRelay(members, zone, world.now);
+        const Member *relay = selectRelay(members, zone, world.now);
         if (relay)
             relays.insert(std::stoul(relay->id.value.substr(1)));
     }
@@ -298,7 +298,7 @@
     world.runFor(std::chrono::seconds(14));
     EXPECT_EQ(firstViolation(world), "");
     EXPECT_LT(world.loads, world.answered * 27 / 100);
-    EXPECT_GT(world.answered, world.asked * 70 / 100);
+    EXPECT_GT(world.answered, world.requestsSent * 70 / 100);
 }
 
 // Guards against hosts that see no usage by other zones because their relay has just failed.
@@ -327,7 +327,7 @@
     world.runFor(std::chrono::seconds(seconds));
     std::uint64_t bytes = 0;
     for (const auto &[kind, byZone] : world.sentByKind)
-        bytes += byZone.elsewhere.bytes - before.at(kind).elsewhere.bytes;
+        bytes += byZone.inOtherZones.bytes - before.at(kind).inOtherZones.bytes;
     EXPECT_EQ(firstViolation(world), "");
     EXPECT_LT(bytes / (world.hostCount() * seconds), 8'000U);
 }
@@ -369,7 +369,7 @@
     constexpr int rounds = 8;
     injectFaults(world, GetParam(), rounds);
     EXPECT_EQ(firstViolation(world), "");
-    EXPECT_GT(world.answered, world.asked / 2);
+    EXPECT_GT(world.answered, world.requestsSent / 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FaultSeeds, testing::Range<std::uint64_t>(1, 13));
@@ -424,7 +424,7 @@
         world.runFor(std::chrono::milliseconds(random() % 5000));
     }
     EXPECT_EQ(firstViolation(world), "");
-    EXPECT_GT(world.answered, world.asked / 2);
+    EXPECT_GT(world.answered, world.requestsSent / 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, LargeFaultSeeds, testing::Range<std::uint64_t>(1, 4));
--- a/tests/gateway_world/query_of_death_test.cpp
+++ b/tests/gateway_world/query_of_death_test.cpp
@@ -32,7 +32,7 @@
     settings.enginesPerZone = 24;
     settings.requestsPerSecond = 400;
     settings.adapters = 2000;
-    settings.loadsAtOnce = 48;
+    settings.fullSpeedLoads = 48;
     return settings;
 }
 
--- a/tests/gateway_world/stated_limit_test.cpp
+++ b/tests/gateway_world/stated_limit_test.cpp
@@ -43,7 +43,7 @@
     settings.enginesPerZone = fleet.enginesPerZone;
     settings.requestsPerSecond = fleet.requestsPerSecond;
     settings.adapters = 40 * fleet.enginesPerZone;
-    settings.loadsAtOnce = fleet.enginesPerZone * 2;
+    settings.fullSpeedLoads = fleet.enginesPerZone * 2;
     World world{ settings };
     world.runFor(std::chrono::seconds(8));
     world.limitEngine(0, fleet.perSecond);
@@ -124,9 +124,9 @@
     limitAllEngines(world, 0);
     world.runFor(std::chrono::seconds(8));
     const std::uint64_t answered = world.answered;
-    const std::uint64_t sentBefore = world.asked;
+    const std::uint64_t sentBefore = world.requestsSent;
     world.runFor(std::chrono::seconds(10));
-    EXPECT_GT(world.answered - answered, (world.asked - sentBefore) * 88 / 100);
+    EXPECT_GT(world.answered - answered, (world.requestsSent - sentBefore) * 88 / 100);
 }
 
 } // namespace
--- a/tests/gateway_world/world.cpp
+++ b/tests/gateway_world/world.cpp
@@ -46,7 +46,7 @@
     service.id.value = "engines";
     service.engine = EngineLimits{};
     service.engine->batchSlots = 64;
-    service.engine->adapterPlaces = static_cast<std::uint32_t>(settings.adapterSlots);
+    service.engine->maxLoadedAdapters = static_cast<std::uint32_t>(settings.adapterSlots);
     service.engine->models.push_back({ baseName, 70000, std::chrono::seconds(2) });
     configuration.services.push_back(service);
     Customer customer;
@@ -246,7 +246,7 @@
     request.promptTokens.count = 1800;
     request.totalTokens = Tokens{ 2000 };
     request.allowed = std::chrono::seconds(4);
-    this->asked += this->crashingRequests.contains(fakeRequest.content) ? 0 : 1;
+    this->requestsSent += this->crashingRequests.contains(fakeRequest.content) ? 0 : 1;
     FakeRequest &kept = this->requests[{ index, request.request.value }];
     kept = fakeRequest;
     kept.at = this->now;
@@ -265,7 +265,7 @@
     for (const OrderEngine &engineOrder : actions.orders)
         this->sendOrder(index, engineOrder);
     this->reports += actions.reports.size();
-    for (const AskReport &query : actions.reports)
+    for (const QueryReport &query : actions.reports)
         this->answerReport(index, query);
     for (const SendGossip &gossip : actions.gossip)
         this->deliver(index, gossip);
@@ -430,7 +430,7 @@
     std::erase_if(this->fetchesEnd, [this](Instant end) { return end <= this->now; });
     const std::size_t others = this->fetchesEnd.size();
     const double slowdown = static_cast<double>(others + 1)
-            / static_cast<double>(this->settings.loadsAtOnce);
+            / static_cast<double>(this->settings.fullSpeedLoads);
     const Span duration = fromSeconds(toSeconds(this->settings.loadTime) * std::max(slowdown, 1.0));
     this->fetchesEnd.push_back(this->now + duration);
     return duration;
@@ -444,7 +444,7 @@
     if (engineOrder.model.isBase()) {
         engine.hasBase = true;
     } else if (engineOrder.isLoad && engine.readyAt.contains(engineOrder.model)) {
-        ended.outcome = OrderOutcome::HeldAlready;
+        ended.outcome = OrderOutcome::AlreadyDone;
         return;
     } else if (engineOrder.isLoad) {
         if (engine.readyAt.size() >= this->settings.adapterSlots)
@@ -459,7 +459,7 @@
         const auto held = engine.readyAt.find(engineOrder.model);
         if (held != engine.readyAt.end() && held->second > this->now) {
             // Nothing to unload yet; the load continues and keeps its slot.
-            ended.outcome = OrderOutcome::HeldAlready;
+            ended.outcome = OrderOutcome::AlreadyDone;
             return;
         }
         if (engine.running[engineOrder.model] > 0) {
@@ -467,7 +467,7 @@
             engine.pendingUnloads.insert(engineOrder.model);
         } else {
             engine.readyAt.erase(engineOrder.model);
-            ended.outcome = OrderOutcome::HeldAlready;
+            ended.outcome = OrderOutcome::AlreadyDone;
         }
     }
     ++engine.ordersTaken;
@@ -548,7 +548,7 @@
     engine.stateHistory.emplace_back(this->now, this->stateOf(engine));
 }
 
-void World::answerReport(std::size_t index, const AskReport &query)
+void World::answerReport(std::size_t index, const QueryReport &query)
 {
     const std::uint64_t incarnation = this->hosts[index].incarnation;
     const Instant askedAt = this->now;
--- a/tests/gateway_world/world.h
+++ b/tests/gateway_world/world.h
@@ -97,9 +97,10 @@
     double tokenRate = 0;         ///< Tokens a second of the only customer; 0: no limit.
     std::size_t adapterSlots = 5; ///< Of each engine.
     Span loadTime = std::chrono::milliseconds(250);
-    std::size_t loadsAtOnce = 8; ///< Concurrent loads at full speed; with more, each takes longer.
-    std::size_t cacheSize = 30;  ///< Adapters in the memory of an engine's host: loaded ten times
-                                 ///< as fast, and not from the weight store.
+    std::size_t fullSpeedLoads
+            = 8;                ///< Concurrent loads at full speed; with more, each takes longer.
+    std::size_t cacheSize = 30; ///< Adapters in the memory of an engine's host: loaded ten times
+                                ///< as fast, and not from the weight store.
     Span reportLag = std::chrono::milliseconds(100);
     double messageLossRate = 0.01;  ///< Fraction of the messages between hosts.
     std::size_t lostBaseOrders = 0; ///< The first orders to load a base model that never arrive
@@ -165,7 +166,7 @@
     }
 
     std::vector<Violation> violations;
-    std::uint64_t asked = 0;
+    std::uint64_t requestsSent = 0;
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
     std::uint64_t loads = 0;
@@ -221,7 +222,7 @@
     void endOrder(std::size_t index, std::uint64_t incarnation, const OrderEnded &ended);
     void executeOrder(std::size_t index, const OrderEngine &engineOrder, FakeEngine &engine,
                       OrderEnded &ended);
-    void answerReport(std::size_t index, const AskReport &query);
+    void answerReport(std::size_t index, const QueryReport &query);
     void checkCoordinator(std::size_t index, FakeEngine &engine, const OrderEngine &engineOrder);
     Span loadDuration(FakeEngine &engine, const ModelName &adapter);
     EngineState stateOf(const FakeEngine &engine) const;
--- a/tests/random_faults/disturb.cpp
+++ b/tests/random_faults/fault_injection.cpp
@@ -86,7 +86,7 @@
         if (host.isUp && !this->isPaused(host) && !host.isStopping) {
             host.isStopping = true;
             if (this->options.injectedBug == InjectedBug::ExitWithoutDraining)
-                this->execute(host, LeaveProcess{});
+                this->execute(host, ExitProcess{});
             else
                 this->deliver(host, StopAsked{});
         }
@@ -107,7 +107,7 @@
 {
     switch (this->options.injectedBug) {
     case InjectedBug::IgnorePins:
-        for (auto &[id, kept] : host.state.kept) {
+        for (auto &[id, kept] : host.state.coordinatedEngines) {
             for (auto &[ref, adapter] : kept.adapters.adapters)
                 adapter.pins = 0;
         }
@@ -118,7 +118,7 @@
         break;
     case InjectedBug::RefillBuckets:
         for (auto &[id, shares] : host.state.shares.customers)
-            shares.part.bucket.level = shares.part.bucket.burst;
+            shares.ownedShare.bucket.level = shares.ownedShare.bucket.burst;
         break;
     case InjectedBug::UseLeavingUpstreams:
         for (auto &[id, upstream] : host.state.upstreams)
--- a/tests/random_faults/platform.cpp
+++ b/tests/random_faults/platform.cpp
@@ -179,9 +179,9 @@
                                                   this->randomIndex(adaptersPerCustomer)) };
         request.service = ServiceId{ "filings" };
         request.promptTokens = Tokens{ static_cast<std::int64_t>(1 + this->randomIndex(30)) };
-        request.mostGenerated = Tokens{ static_cast<std::int64_t>(5 + this->randomIndex(40)) };
+        request.maxGenerated = Tokens{ static_cast<std::int64_t>(5 + this->randomIndex(40)) };
         if (request.kind == RequestKind::ServiceCall)
-            request.mostGenerated = {};
+            request.maxGenerated = {};
         request.deadline = this->clockOf(host) + this->randomSpan(3, 20);
         CallerRecord caller;
         caller.host = host.id;
@@ -199,7 +199,7 @@
                                record.hasDisconnected = !record.isEnded;
                                if (!std::exchange(record.isEnded, true))
                                    this->deliverToIncarnation(id, incarnation,
-                                                              CallerLeft{ requestId });
+                                                              CallerDisconnected{ requestId });
                            });
     }
 }
--- a/tests/random_faults/shell.cpp
+++ b/tests/random_faults/shell.cpp
@@ -57,9 +57,9 @@
         this->sendPeer(host, *message);
     } else if (const OrderEngine *order = std::get_if<OrderEngine>(&action)) {
         this->orderEngine(host, *order);
-    } else if (const AskLoad *query = std::get_if<AskLoad>(&action)) {
+    } else if (const QueryLoadReport *query = std::get_if<QueryLoadReport>(&action)) {
         this->queryLoad(host, *query);
-    } else if (std::holds_alternative<LeaveProcess>(action)) {
+    } else if (std::holds_alternative<ExitProcess>(action)) {
         for (const auto &[id, caller] : this->checks.callers) {
             if (caller.host == host.id && caller.incarnation == host.state.self.incarnation
                 && !caller.isEnded)
@@ -97,7 +97,7 @@
             if (this->isPartitioned(from, receiver.zoneIndex))
                 return;
             const Result<PeerMessage> decoded = decodePayload(
-                    std::string_view(frame).substr(frameHeadBytes));
+                    std::string_view(frame).substr(frameHeaderBytes));
             this->deliver(receiver, PeerMessageReceived{ decoded.value() });
         });
     }
@@ -191,8 +191,8 @@
     }
     this->checks.recordRun(order.request, order.upstream);
     engine->sequences.push_back(Sequence{ order.request, host, incarnation, order.attempt, adapter,
-                                          order.resumeFrom.count,
-                                          caller.request.mostGenerated.count, false });
+                                          order.resumeFrom.count, caller.request.maxGenerated.count,
+                                          false });
 }
 
 void World::runService(const HostId &host, Incarnation incarnation, const Dispatch &order)
@@ -223,13 +223,14 @@
 }
 
 /// Whether the shell has closed the connection of an order before the order arrived. A paused or
-/// replaced process does not close it in time, but its bytes are in flight for at most orderFlight.
+/// replaced process does not close it in time, but its bytes are in flight for at most
+/// maxOrderTransit.
 bool World::isOrderTimedOut(const HostId &id, Incarnation incarnation, Instant notAfter)
 {
     const SimHost &host = this->findHost(id);
     const bool isAwake = host.isUp && host.state.self.incarnation == incarnation
             && !this->isPaused(host);
-    return this->now >= notAfter + (isAwake ? Span{} : orderFlight);
+    return this->now >= notAfter + (isAwake ? Span{} : maxOrderTransit);
 }
 
 void World::executeOrder(const HostId &host, Incarnation incarnation, const OrderEngine &order,
@@ -245,7 +246,7 @@
     const bool isTimedOut = this->isOrderTimedOut(host, incarnation, notAfter);
     const bool isFenced = !isUnreachable && !isTimedOut && engine.refusesFencing(order.fencing);
     if (isFenced)
-        failed.refusedBy = engine.highestFencing;
+        failed.engineFencing = engine.highestFencing;
     if (isUnreachable || isTimedOut || isFenced) {
         this->schedule(isUnreachable ? upstreamTimeout : Span{ 500 },
                        [this, host, incarnation, failed] {
@@ -284,11 +285,11 @@
                    });
 }
 
-void World::queryLoad(SimHost &host, const AskLoad &query)
+void World::queryLoad(SimHost &host, const QueryLoadReport &query)
 {
     const Engine &engine = *this->findEngine(query.engine);
     LoadReported report = engine.report();
-    report.askedAt = query.askedAt;
+    report.queriedAt = query.queriedAt;
     report.isReachable = !this->isPartitioned(host.zoneIndex, zoneIndexOf(engine.zone));
     // Reports are delayed: they contain the state at the time of the query.
     this->schedule(this->randomSpan(0.001, 0.4),
--- a/tests/random_faults/world.h
+++ b/tests/random_faults/world.h
@@ -116,13 +116,13 @@
                       Instant notAfter);
     bool isOrderTimedOut(const HostId &id, Incarnation incarnation, Instant notAfter);
     void closeAttempt(SimHost &host, const CancelAttempt &order);
-    void queryLoad(SimHost &host, const AskLoad &query);
+    void queryLoad(SimHost &host, const QueryLoadReport &query);
     void cancel(const CancelAttempt &order);
     void checkDispatch(SimHost &host, const Dispatch &order, const CallerRecord &caller);
     void makeTokens();
     void endAttempt(const Sequence &sequence, AttemptOutcome outcome, Span delay);
 
-    // platform.cpp: tickets, lists, callers.
+    // configuration_service.cpp: tickets, lists, callers.
     void publish(const std::string &text);
     void publishInitialTicket();
     void publishChange();
@@ -131,7 +131,7 @@
     void checkTickets(SimHost &host);
     void sendRequests();
 
-    // disturb.cpp: faults and injected bugs.
+    // fault_injection.cpp: faults and injected bugs.
     void injectFault();
     void injectBug(SimHost &host);
 };
--- a/tests/soak/faults.cpp
+++ b/tests/soak/faults.cpp
@@ -32,38 +32,37 @@
           [](World &, Engine &engine) {
               engine.faults.closeAfterTokens = -1;
           } },
-        { "engine_silent", [](World &, Engine &engine) { engine.faults.silentAfterTokens = 3; },
+        { "engine_silent", [](World &, Engine &engine) { engine.faults.stallAfterTokens = 3; },
           [](World &, Engine &engine) {
-              engine.faults.silentAfterTokens = -1;
+              engine.faults.stallAfterTokens = -1;
           } },
         { "engine_refuses", [](World &, Engine &engine) { engine.faults.refuses = true; },
           [](World &, Engine &engine) {
               engine.faults.refuses = false;
           } },
-        { "answers_crossed", [](World &, Engine &engine) { engine.faults.crossesAnswers = true; },
+        { "answers_crossed",
+          [](World &, Engine &engine) { engine.faults.mismatchesRequestIds = true; },
           [](World &, Engine &engine) {
-              engine.faults.crossesAnswers = false;
+              engine.faults.mismatchesRequestIds = false;
           } },
         { "loads_fail", [](World &, Engine &engine) { engine.faults.failLoads = 5; },
           [](World &, Engine &engine) {
               engine.faults.failLoads = 0;
           } },
-        { "connections_silent", [](World &, Engine &engine) { engine.silenceConnections(); },
-          noAction },
+        { "connections_silent", [](World &, Engine &engine) { engine.stallStreams(); }, noAction },
         { "restart_cold", [](World &, Engine &engine) { engine.restartCold(); }, noAction },
         { "store_slow", [](World &world, Engine &) { world.store->slowDown(10); },
           [](World &world, Engine &) {
               world.store->slowDown(1);
           } },
         { "service_closes",
-          [](World &world, Engine &) { world.service.closesWithoutAnswer = true; },
+          [](World &world, Engine &) { world.service.closesWithoutResponse = true; },
           [](World &world, Engine &) {
-              world.service.closesWithoutAnswer = false;
+              world.service.closesWithoutResponse = false;
           } },
-        { "service_half",
-          [](World &world, Engine &) { world.service.closesAfterHalfAnswer = true; },
+        { "service_half", [](World &world, Engine &) { world.service.closesMidResponse = true; },
           [](World &world, Engine &) {
-              world.service.closesAfterHalfAnswer = false;
+              world.service.closesMidResponse = false;
           } },
         { "platform_down", [](World &world, Engine &) { world.platform.isDown = true; },
           [](World &world, Engine &) {
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -79,10 +79,10 @@
         for (const std::unique_ptr<tests::HostProcess> &host : world.hosts)
             expect(!host->log().contains(tenant.key), "an API key was logged");
     }
-    expect(world.service.keysSeen == 0, "the service received an API key");
+    expect(world.service.requestsWithKey == 0, "the service received an API key");
     for (const std::unique_ptr<standins::Engine> &engine : world.engines) {
-        expect(engine->keysSeen == 0, "an engine received an API key");
-        expect(engine->unloadedWhileServing == 0, "an adapter was unloaded while serving");
+        expect(engine->requestsWithKey == 0, "an engine received an API key");
+        expect(engine->unloadsWhileServing == 0, "an adapter was unloaded while serving");
     }
     return found;
 }
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -2,9 +2,9 @@
 
 #include "host_process.h"
 
+#include "azurewell/standins/configuration_service.h"
 #include "azurewell/standins/engine.h"
 #include "azurewell/standins/plain_service.h"
-#include "azurewell/standins/platform.h"
 
 #include <memory>
 #include <vector>
@@ -35,7 +35,7 @@
     /// Tokens that the engines generated for \a tenant, as counted by the engines.
     std::uint64_t tokensGeneratedFor(const Tenant &tenant) const;
 
-    standins::Platform platform;
+    standins::ConfigurationService platform;
     std::shared_ptr<standins::WeightStore> store;
     std::vector<std::unique_ptr<standins::Engine>> engines;
     standins::PlainService service;
--- a/tests/sockets/bad_input_test.cpp
+++ b/tests/sockets/bad_input_test.cpp
@@ -107,8 +107,8 @@
     const std::string log = testing::internal::GetCapturedStdout();
     EXPECT_NE(log.find("request_refused"), std::string::npos);
     EXPECT_EQ(log.find(callerKey.toStdString()), std::string::npos);
-    EXPECT_EQ(engine.keysSeen, 0U);
-    EXPECT_EQ(this->service.keysSeen, 0U);
+    EXPECT_EQ(engine.requestsWithKey, 0U);
+    EXPECT_EQ(this->service.requestsWithKey, 0U);
 }
 
 // Guards against a crash or unbounded memory use when a client that is not a host of the fleet,
--- a/tests/sockets/filings_test.cpp
+++ b/tests/sockets/filings_test.cpp
@@ -35,8 +35,8 @@
 {
     this->addEngine();
     this->startHost();
-    this->service.closesWithoutAnswer = !GetParam().isHalfAnswered;
-    this->service.closesAfterHalfAnswer = GetParam().isHalfAnswered;
+    this->service.closesWithoutResponse = !GetParam().isHalfAnswered;
+    this->service.closesMidResponse = GetParam().isHalfAnswered;
     Caller caller(this->port);
     caller.post("/services/filings/notices", GetParam().body);
     const Answer answer = caller.answer();
@@ -63,7 +63,7 @@
         caller.post("/services/permits/list", "{}");
         ASSERT_EQ(caller.answer().status, 200);
     }
-    this->service.closesWithoutAnswer = true;
+    this->service.closesWithoutResponse = true;
     Caller caller(this->port);
     caller.post("/services/permits/list", "{}");
     const Answer answer = caller.answer();
--- a/tests/sockets/host_fixture.h
+++ b/tests/sockets/host_fixture.h
@@ -3,9 +3,9 @@
 #include "caller.h"
 
 #include "azurewell/shell/control_loop.h"
+#include "azurewell/standins/configuration_service.h"
 #include "azurewell/standins/engine.h"
 #include "azurewell/standins/plain_service.h"
-#include "azurewell/standins/platform.h"
 
 #include <gtest/gtest.h>
 #include <nlohmann/json.hpp>
@@ -37,7 +37,7 @@
     bool isServing();
 
     Settings settings;
-    standins::Platform platform;
+    standins::ConfigurationService platform;
     std::shared_ptr<standins::WeightStore> store;
     std::vector<std::unique_ptr<standins::Engine>> engines;
     standins::PlainService service;
--- a/tests/sockets/library_traps_test.cpp
+++ b/tests/sockets/library_pitfalls_test.cpp
@@ -49,7 +49,7 @@
 // and the permit is suspended.
 TEST_F(LibraryPitfalls, ANonIdempotentCallIsSentOnce)
 {
-    this->service.closesWithoutAnswer = true;
+    this->service.closesWithoutResponse = true;
     QNetworkAccessManager plain;
     plain.setProxy(QNetworkProxy::NoProxy);
     ASSERT_TRUE(isFinished(plain.post(requestTo(this->service.address()), QByteArray("doubled"))));
@@ -66,7 +66,7 @@
 // booking.
 TEST_F(LibraryPitfalls, ACallWithoutABodyIsSentOnce)
 {
-    this->service.closesWithoutAnswer = true;
+    this->service.closesWithoutResponse = true;
     UpstreamPool pool;
     const QByteArray address = QByteArray::fromStdString(this->service.address());
     for (const char *method : { "POST", "PUT", "DELETE", "PATCH" }) {
@@ -86,7 +86,7 @@
     standins::Engine &engine = this->addEngine(options);
     this->startHost();
     ASSERT_TRUE(this->isServing()); // the adapter is now loaded
-    engine.faults.silentAfterTokens = 1;
+    engine.faults.stallAfterTokens = 1;
 
     QNetworkAccessManager plain;
     plain.setProxy(QNetworkProxy::NoProxy);
@@ -104,7 +104,7 @@
         ASSERT_TRUE(caller->waitFor("routes@3#0"));
     EXPECT_EQ(plainAnswers, 6) << "the library no longer behaves this way";
 
-    engine.faults.silentAfterTokens = -1;
+    engine.faults.stallAfterTokens = -1;
     for (const std::unique_ptr<Caller> &caller : callers) {
         const Answer answer = caller->answer();
         EXPECT_TRUE(answer.isComplete);
@@ -196,7 +196,7 @@
 // now and then and never complete their request.
 TEST_F(LibraryPitfalls, ASlowSenderIsTimedOut)
 {
-    this->settings.senderPatience = fromSeconds(0.3);
+    this->settings.requestReadTimeout = fromSeconds(0.3);
     this->addEngine();
     this->startHost();
     Caller slowHead(this->port);
@@ -227,7 +227,7 @@
 // polls for closed connections: closed connections must not count against the limit.
 TEST_F(LibraryPitfalls, ClosedConnectionsDoNotCount)
 {
-    this->settings.mostConnections = 4;
+    this->settings.maxConnections = 4;
     this->addEngine();
     this->startHost();
     for (int round = 0; round < 50; ++round) {
--- a/tests/sockets/stop_test.cpp
+++ b/tests/sockets/stop_test.cpp
@@ -37,7 +37,7 @@
 // interrupted, refused unnecessarily or reset, and the process exits with code 0.
 TEST_F(PlannedStop, InterruptsNoRequest)
 {
-    this->service.answerMillis = 1500;
+    this->service.responseDelayMillis = 1500;
     std::vector<std::unique_ptr<Caller>> streams;
     for (int index = 0; index < 6; ++index) {
         streams.push_back(std::make_unique<Caller>(this->port));
@@ -99,7 +99,7 @@
     Caller stream(this->port);
     stream.post("/v1/completions", completion("routes@3", longStreamTokens));
     ASSERT_TRUE(stream.waitFor("routes@3#2"));
-    this->service.answerMillis = 500;
+    this->service.responseDelayMillis = 500;
     Caller filing(this->port);
     filing.post("/services/filings/notices", "{}");
     ASSERT_TRUE(waitUntil([this] { return this->service.runs == 1; }));
@@ -114,7 +114,7 @@
     EXPECT_EQ(filing.answer().status, 200) << "the answer was buffered while the host was paused";
     EXPECT_EQ(this->service.runs, 1U);
     EXPECT_TRUE(this->isServing());
-    EXPECT_EQ(this->engines[0]->unloadedWhileServing, 0U);
+    EXPECT_EQ(this->engines[0]->unloadsWhileServing, 0U);
 }
 
 } // namespace azurewell::tests
--- a/tests/sockets/streams_test.cpp
+++ b/tests/sockets/streams_test.cpp
@@ -22,17 +22,17 @@
     /// \a fault is set on both and reset on the one that does not serve the stream.
     void startStream(const standins::EngineFaults &fault, int tokens)
     {
-        this->settings.upstreamIdle = fromSeconds(0.5);
+        this->settings.upstreamIdleTimeout = fromSeconds(0.5);
         this->addEngine().faults = fault;
         this->addEngine().faults = fault;
         this->startHost();
         this->caller = std::make_unique<Caller>(this->port);
         this->caller->post("/v1/completions", completion("routes@3", tokens));
         ASSERT_TRUE(this->caller->waitFor("routes@3#1"));
-        this->servingEngine = this->engines[0]->tokensMade > 0 ? this->engines[0].get()
-                                                               : this->engines[1].get();
-        this->otherEngine = this->engines[0]->tokensMade > 0 ? this->engines[1].get()
-                                                             : this->engines[0].get();
+        this->servingEngine = this->engines[0]->tokensGenerated > 0 ? this->engines[0].get()
+                                                                    : this->engines[1].get();
+        this->otherEngine = this->engines[0]->tokensGenerated > 0 ? this->engines[1].get()
+                                                                  : this->engines[0].get();
         this->otherEngine->faults = {};
     }
 
@@ -47,14 +47,14 @@
 TEST_F(Streams, AStreamIsResumedWhenItsConnectionStalls)
 {
     this->startStream({}, 200);
-    this->servingEngine->silenceConnections();
+    this->servingEngine->stallStreams();
     const Answer answer = this->caller->answer();
     EXPECT_TRUE(answer.isComplete);
     EXPECT_EQ(tokenPositions(answer.body, "routes@3"), positionsUpTo(200));
     EXPECT_TRUE(answer.body.endsWith("data: [DONE]\n\n"));
     EXPECT_EQ(this->metric("azurewell_retries_total{reason=\"upstream_silent\"}"), 1);
     EXPECT_EQ(this->metric("azurewell_resumes_total"), 1);
-    EXPECT_EQ(this->otherEngine->tokensMade, 0U)
+    EXPECT_EQ(this->otherEngine->tokensGenerated, 0U)
             << "the stream must resume at the engine that still has it";
 }
 
@@ -62,7 +62,7 @@
 TEST_F(Streams, AStreamOfAnUnresponsiveEngineIsResumedAtAnother)
 {
     standins::EngineFaults fault;
-    fault.silentAfterTokens = 5;
+    fault.stallAfterTokens = 5;
     this->startStream(fault, 40);
     const Answer answer = this->caller->answer();
     EXPECT_TRUE(answer.isComplete);
@@ -127,10 +127,10 @@
 TEST_F(Streams, AnAnswerToAnotherRequestReachesNoCaller)
 {
     std::vector<standins::EngineFaults> faults(4);
-    faults[0].crossesAnswers = true;
+    faults[0].mismatchesRequestIds = true;
     faults[1].omitsId = true;
-    faults[2].answersOtherModel = true;
-    faults[3].answersOtherModel = true;
+    faults[2].respondsAsOtherModel = true;
+    faults[3].respondsAsOtherModel = true;
     this->addEngine();
     this->startHost();
     ASSERT_TRUE(this->isServing());
@@ -159,7 +159,7 @@
     this->startHost();
     ASSERT_TRUE(this->isServing());
     for (const std::unique_ptr<standins::Engine> &engine : this->engines)
-        engine->forgetAdapters();
+        engine->dropAdapters();
     Caller client(this->port);
     client.post("/v1/completions", completion("routes@3", 3));
     const Answer answer = client.answer();
@@ -183,7 +183,7 @@
 // host's memory, and its slot would stay occupied.
 TEST_F(Streams, ACallerThatDoesNotReadIsDisconnected)
 {
-    this->settings.readerPatience = fromSeconds(0.5);
+    this->settings.callerReadTimeout = fromSeconds(0.5);
     standins::EngineFaults fault;
     fault.tokenSuffix = std::string(20'000, 'x');
     this->startStream(fault, 100'000);
@@ -192,7 +192,7 @@
     EXPECT_TRUE(waitUntil([this] { return this->metric("azurewell_open_requests") == 0; }));
     EXPECT_EQ(this->metric("azurewell_refusals_total{reason=\"caller_gone\"}"), 1);
     EXPECT_EQ(this->servingEngine->runningCount(), 0U);
-    EXPECT_LT(this->servingEngine->tokensMade, 2000U); // 40 MB; socket buffers hold a part
+    EXPECT_LT(this->servingEngine->tokensGenerated, 2000U); // 40 MB; socket buffers hold a part
 }
 
 // Guards against disconnecting a caller that reads in bursts, with pauses shorter than the host's
