--- a/packages/gateway/src/load_times.cpp
+++ b/packages/gateway/src/load_times.cpp
@@ -26,19 +26,21 @@
 constexpr std::uint32_t acceptsBeforeShrinking = 12;
 constexpr std::uint32_t maxShrinkPercent = 10;
 
-/// Maximum number of requests sent for one load before a report shows it as done. Each rejection
-/// costs a retry.
+/// Maximum number of requests sent for one load before the engine's load report shows it as done.
+/// Each rejection costs a retry.
 constexpr std::uint32_t maxEarlyAttempts = 3;
 
-/// Base of the delay after a rejection; doubled with each request sent for the load.
+/// Base of the delay after an early attempt that was rejected or failed; doubled with each request
+/// sent for the load.
 constexpr Span earlyAttemptBackoff = std::chrono::milliseconds(15);
 
-/// An early attempt that was not rejected within this time counts as accepted: hosts and engines
-/// are some milliseconds apart.
+/// An early attempt that was not rejected within this time counts as accepted: engines reject at
+/// once, and the network latency is some milliseconds.
 constexpr Span rejectionTimeout = std::chrono::milliseconds(15);
 
 } // namespace
 
+// The number of accepted requests starts at the threshold, so that the first one shortens the time.
 LoadTimes::LoadTimes()
     : fromStore{ initialFromStore, 0, acceptsBeforeShrinking }
     , fromHostMemory{ initialFromHostMemory, 0, acceptsBeforeShrinking }
--- a/packages/gateway/src/requests.cpp
+++ b/packages/gateway/src/requests.cpp
@@ -9,14 +9,16 @@
 
 namespace {
 
-/// Timeout of a request without a deadline of its caller and its route.
+/// Timeout of requests whose route states none. A caller's deadline can only shorten it.
 constexpr Span defaultRequestTimeout = std::chrono::seconds(30);
 
-/// A request that waits for an adapter is refused after this percentage of its objective: the rest
-/// is needed to read its prompt, and an answer after the objective is worth a third.
+/// A request that waits for an adapter is refused after this percentage of its route's objective
+/// (target time to the answer): the rest is needed to read its prompt, and to its caller a late
+/// answer is worth a third of one in time.
 constexpr int adapterWaitPercent = 75;
 
-/// After a stop request, the balancer keeps sending all kinds of requests for this time.
+/// After a stop request, the load balancer keeps sending all kinds of requests to this host for
+/// this time. Only afterwards are those refused that may outlive the process.
 constexpr Span stopServingTime = std::chrono::milliseconds(2500);
 
 /// The process exits this long before the end of its grace period.
@@ -25,11 +27,11 @@
 /// Retry-after time of refusals by a stopping host: another host serves the retry at once.
 constexpr Span drainingRetryAfter = std::chrono::milliseconds(50);
 
-/// Retries that the fleet may save up, divided among its hosts. The fleet may make about 50 more
-/// than its share of the requests.
+/// Retries that the fleet may save up, divided among its hosts (at least one each). The bound
+/// for the fleet is a fifth of its requests plus about 50 retries.
 constexpr double fleetRetryBurst = 40;
 
-/// Retries earned per request. The fleet may retry a fifth of its requests.
+/// Retries earned per request; less than the fifth that the fleet may retry.
 constexpr double retriesPerRequest = 0.15;
 
 void refuse(GatewayState &state, const RequestRecord &record, ResultCode code, Span retryAfter,
@@ -49,7 +51,7 @@
 }
 
 /// Whether a request that arrives while this host stops may last longer than the process, which
-/// would break it off. Another host can serve it completely.
+/// would break it off. Another host can serve it completely. Always false during stopServingTime.
 bool mayOutliveProcess(const GatewayState &state, const RequestRecord &record, Instant now)
 {
     if (!isStopping(state) || now < state.stopAskedAt + stopServingTime)
@@ -57,7 +59,9 @@
     return record.deadline > state.stopAskedAt + state.self.stopGrace - stopMargin;
 }
 
-/// Whether a request may be sent to another upstream after \a outcome.
+/// Whether a request may be sent to another upstream after \a outcome. If it may have run,
+/// only before its answer starts, and only if it is idempotent or a stream that may be resumed
+/// (here: started anew).
 bool mayRepeat(const RequestRecord &record, AttemptOutcome outcome)
 {
     if (outcome != AttemptOutcome::Failed)
@@ -83,13 +87,15 @@
     return HealthSignal::Answered;
 }
 
-/// Whether \a outcome shows that the upstream was alive after it received the request.
+/// Whether \a outcome shows that the upstream was alive after it received the request. NotThere
+/// does not: another upstream may have the address.
 bool hasAnswered(AttemptOutcome outcome)
 {
     return outcome == AttemptOutcome::Done || outcome == AttemptOutcome::NotRun
             || outcome == AttemptOutcome::FaultStated;
 }
 
+/// NotThere gives AdapterLoadFailed whatever was missing, also for a base model.
 ResultCode codeOf(AttemptOutcome outcome)
 {
     switch (outcome) {
@@ -132,8 +138,8 @@
     });
 }
 
-/// Sends an idempotent request to another upstream after a stated fault. If that is not possible,
-/// the caller gets the stated fault.
+/// Sends an idempotent request to another upstream after an answer that states a fault of the
+/// upstream (FaultStated). If that is not possible, the caller gets this answer.
 bool repeatAfterFault(GatewayState &state, RequestRecord &record, Instant now, Actions &actions)
 {
     ++record.possibleRuns;
@@ -144,6 +150,7 @@
         return false;
     record.excluded.insert(record.upstream);
     UpstreamNeed need = needOf(state, record);
+    // Sent at once, without prompt admission by the engine's coordinator.
     need.isSentWithoutAdmission = true;
     const Upstream *other = chooseUpstream(state.upstreams, need, state.versions, draw(state), now);
     if (!other || !takeRetry(retryBudgetOf(state, record.service)))
@@ -154,8 +161,8 @@
     return true;
 }
 
-/// Places a request again that an engine rejected because its load was not done. Its retry was
-/// taken when it was sent.
+/// Places a request again that an engine rejected because the load of its adapter was not done.
+/// takeRetry() was already called when this early attempt was sent.
 void placeAfterEarlyAttempt(GatewayState &state, RequestRecord &record, Instant now,
                             Actions &actions)
 {
@@ -250,10 +257,10 @@
     countFirstAttempt(retryBudgetOf(state, record.service));
     if (customer) {
         record.customer = customer->id;
-        const MeterStart start = meterStart(state, now);
-        const std::optional<Span> wait = admit(state.meters[customer->id], *customer,
-                                               costOf(*customer, event.totalTokens),
-                                               currentLimits(state), start, state.members, now);
+        const MeterStart useBeforeStart = meterStart(state, now);
+        const std::optional<Span> wait = admit(
+                state.meters[customer->id], *customer, costOf(*customer, event.totalTokens),
+                currentLimits(state), useBeforeStart, state.members, now);
         if (wait) {
             refuseAndForget(state, record, ResultCode::RateExceeded,
                             std::max(*wait, shortRetryAfter), actions);
@@ -367,6 +374,7 @@
             if (upstream != state.upstreams.end() && !record.hasAnswerStarted)
                 recordHealth(upstream->second, HealthSignal::Failed, now);
         }
+        // UpstreamSilent: the request may have run. DeadlineUnreachable: it did not run.
         refuseAndForget(state, record,
                         record.possibleRuns > 0 ? ResultCode::UpstreamSilent
                                                 : ResultCode::DeadlineUnreachable,
--- a/packages/host/src/calls.cpp
+++ b/packages/host/src/calls.cpp
@@ -14,12 +14,13 @@
 /// An outcome report that is not acknowledged within this time is abandoned; the issuer then
 /// reports "outcome unknown".
 constexpr Span outcomeReportTimeout = fromSeconds(30);
-/// Maximum number of reports held. Beyond it the oldest is dropped: its call then counts as
-/// unknown, which is safe.
+/// Maximum number of reports held. Beyond it the oldest is dropped: the outcome of its call then
+/// counts as unknown, which is safe as the call is not run again.
 constexpr std::size_t maxFinishedCalls = 4096;
 /// Fraction by which the requester shortens a permit, to allow for clock drift.
 constexpr double permitDriftMargin = 0.02;
 constexpr std::uint32_t maxNumbersPerRequest = 100;
+/// Retry-after time of refusals by refuseCall().
 constexpr Span permitRetryAfter = fromSeconds(1);
 
 void dropOldFinished(Step &step)
@@ -65,6 +66,8 @@
     keepFinished(step, std::move(finished));
 }
 
+/// Refuses a call that this host has not sent, with exactly \a runState. Unlike endRefused(), does
+/// not derive the run state from the permit.
 void refuseCall(Step &step, RequestRecord &record, ResultCode code, RunState runState)
 {
     countRefusal(step.state.counters, code);
@@ -156,7 +159,7 @@
         refuseCall(step, record, ResultCode::OutcomeUnknown, RunState::Unknown);
         return;
     }
-    record.phase = RequestPhase::WaitingForSlot;
+    record.phase = RequestPhase::WaitingForSlot; // here: for the permit
     PendingPermit permit;
     permit.issuer = parts->host;
     permit.ask = PermitAsk{ record.arrival.callNumber, record.customer, record.arrival.request,
@@ -175,6 +178,7 @@
         return RunState::NotRun;
     const auto permit = calls.pendingPermits.find(record.arrival.request);
     if (permit != calls.pendingPermits.end() && permit->second.isGranted) {
+        // Returns the permit to its issuer and removes it here.
         reportOutcome(step, record, CallOutcome::NotRun);
         return RunState::NotRun;
     }
@@ -222,7 +226,8 @@
     RequestRecord *record = findRequest(step.state, reply.request);
     if (permit == calls.pendingPermits.end() || !record
         || message.sender != permit->second.issuer) {
-        // The grant arrived after the request had ended: report the outcome to the issuer again.
+        // The request has ended, or the reply is not from the issuer. After a grant, the outcome is
+        // sent to the issuer if it is still kept here: the grant may have arrived late.
         const auto finished = calls.finishedCalls.find(reply.request);
         if (finished != calls.finishedCalls.end() && reply.answer.verdict == PermitVerdict::Granted)
             sendReport(step, finished->second);
@@ -253,7 +258,7 @@
         refuseCall(step, *record, ResultCode::CallNumberInvalid, RunState::NotRun);
         return;
     case PermitVerdict::Withdrawn:
-        return;
+        return; // the permit was returned before; the issuer received a late duplicate
     }
 }
 
--- a/packages/host/src/coordinators.cpp
+++ b/packages/host/src/coordinators.cpp
@@ -11,13 +11,14 @@
 /// A process whose event loop handled nothing for this long was suspended: ticks arrive every 10
 /// ms, and an event loop that is late by a hundred of them is not merely busy.
 constexpr Span suspensionThreshold = fromSeconds(1);
-/// After a suspension a host receives for two heartbeat intervals before it grants or promises
-/// anything.
+/// After a suspension a host receives heartbeats for two of their intervals before it grants slots
+/// or promises its view to peers.
 constexpr Span listenDuration = fromSeconds(1);
 /// Interval of membership updates: every fifth tick. Missing heartbeats are not detected more
 /// precisely.
 constexpr Span membershipUpdateInterval = fromSeconds(0.05);
-/// How long a host without any host list (the platform is down) waits for heartbeats of peers.
+/// How long a host that has read no host list (the configuration service is down) waits for
+/// heartbeats of peers.
 constexpr Span hostListTimeout = fromSeconds(0.5);
 
 bool isSelfLeaving(const HostState &state)
@@ -47,7 +48,8 @@
     return best && *best == state.self.id;
 }
 
-/// Whether \a zone has no host ordinals of its own; its engines are coordinated from other zones.
+/// Whether \a zone has no host ordinals (`seats`) in the configuration in force; its engines are
+/// coordinated from other zones.
 bool isZoneWithoutHosts(const HostState &state, const ZoneId &zone)
 {
     const auto found = state.inForce.zones.find(zone);
@@ -71,9 +73,9 @@
         return coordination.acknowledgedBy.contains(host);
     });
     const bool hasWaited = step.now >= coordination.startedAt + goneAfter;
-    const bool knowsPeers = coordination.hasHostList || !possible.empty()
+    const bool isPeerDiscoveryOver = coordination.hasHostList || !possible.empty()
             || step.now >= coordination.startedAt + hostListTimeout;
-    if (!hasWaited && (!isKnown || !knowsPeers)) {
+    if (!hasWaited && (!isKnown || !isPeerDiscoveryOver)) {
         coordination.joinAllowedAt = never;
         return;
     }
@@ -81,8 +83,9 @@
     coordination.joinAllowedAt = std::min(coordination.joinAllowedAt, step.now + inFlight);
 }
 
-/// Updates whether all hosts that may be running promise this host's view, and from when a previous
-/// coordinator's leases have certainly expired.
+/// Updates whether all hosts that may be running promise this host's view, that is to adopt no
+/// other one until the promise expires. Updates for each engine from when a previous coordinator's
+/// slot leases have certainly expired.
 void updatePromiseCompleteness(Step &step)
 {
     HostState &state = step.state;
@@ -105,11 +108,12 @@
     // slots that it granted by a view of its own last for one more lease.
     const bool hasLostHost = coordination.hostsSinceComplete.size() > possible.size();
     coordination.hostsSinceComplete = { possible.begin(), possible.end() };
-    const bool isSteady = recordAllPromises(coordination.views, possible) && !hasLostHost;
+    const bool isSoleGranter = recordAllPromises(coordination.views, possible) && !hasLostHost;
+    // Includes engines that another host coordinates now and on which slots granted here are left.
     for (auto &[id, engineState] : state.coordinatedEngines) {
-        if (engineState.evictionAllowedFrom == never || !isSteady)
+        if (engineState.evictionAllowedFrom == never || !isSoleGranter)
             engineState.evictionAllowedFrom = step.now + slotLease;
-        if (!isSteady)
+        if (!isSoleGranter)
             engineState.hasNoUnknownRequests = false;
     }
 }
@@ -168,6 +172,7 @@
     if (step.now < coordination.nextMembershipUpdate)
         return;
     coordination.nextMembershipUpdate = step.now + membershipUpdateInterval;
+    // `charts.peer` is the state chart (state machine) of peers.
     updateUnreachablePeers(state.membership, state.charts.peer, step.now);
     const std::uint64_t number = usableHostsHash(state);
     if (number != coordination.usableHostsHash) {
@@ -208,6 +213,7 @@
     const bool isSettled = coordination.views.view != 0
             && coordination.candidateHosts == coordination.views.adoptedHosts
             && step.now >= coordination.listenUntil;
+    // The view is stated as a hash of its hosts; 0 promises nothing.
     beat.view = isSettled ? coordination.views.view : 0;
     beat.viewEpoch = coordination.views.epoch;
     if (isSettled)
@@ -255,16 +261,17 @@
               Instant now)
 {
     if (engine.zone != state.self.zone)
-        return false; // coordinated from another zone: no promises exist there
+        return false; // promises cover only engines of the host's own zone
     return state.coordination.hasAllPromises && now >= engineState.evictionAllowedFrom
             && engineState.hasNoUnknownRequests;
 }
 
 std::size_t listedHosts(const HostState &state)
 {
-    const auto listed = std::count_if(state.membership.peers.begin(), state.membership.peers.end(),
-                                      [](const auto &entry) { return entry.second.isListed; });
-    return static_cast<std::size_t>(listed) + 1;
+    const auto listedPeers = std::count_if(state.membership.peers.begin(),
+                                           state.membership.peers.end(),
+                                           [](const auto &entry) { return entry.second.isListed; });
+    return static_cast<std::size_t>(listedPeers) + 1; // and this host
 }
 
 } // namespace azurewell::internal
