--- a/benchmark/load_patterns/fleet_run.cpp
+++ b/benchmark/load_patterns/fleet_run.cpp
@@ -21,8 +21,9 @@
 
 constexpr Span heartbeatInterval = fromSeconds(0.5);
 constexpr Span tickInterval = fromSeconds(0.1);
-/// The last measured requests have their deadline at runUntil and expire at the next tick.
-constexpr Span lastExpiry = fromSeconds(1);
+/// Simulated time after runUntil: the last measured requests have their deadline at runUntil and
+/// expire at the next tick.
+constexpr Span extraRunTime = fromSeconds(1);
 constexpr Span unloadTime = fromSeconds(0.02);
 constexpr std::size_t zones = 3;
 constexpr std::size_t maxQueued = 1024;
@@ -54,7 +55,8 @@
     std::unordered_map<AdapterRef, Instant> loadedAt;
     std::size_t coordinator = 0; ///< Index of the coordinating host.
     ServiceRate rate;
-    /// Incremented at each restart; the ends of earlier loads are ignored.
+    /// Incremented at each restart; the end of an earlier load or unload then leaves `adapters`
+    /// unchanged.
     std::uint64_t incarnation = 1;
 };
 
@@ -131,7 +133,7 @@
         while (!this->steps.empty()) {
             const TimedStep step = this->steps.top();
             this->steps.pop();
-            if (step.at >= runUntil + lastExpiry)
+            if (step.at >= runUntil + extraRunTime)
                 break;
             this->countSlots(step.at);
             this->now = step.at;
@@ -263,7 +265,7 @@
                 : latestStart(managed.rate, request.cost, job.deadline);
         request.queuedAt = this->now;
         recordSent(this->hosts[job.host].table, managed.id, job.adapter, this->now);
-        if (!this->isBaseline() && this->isPermitTooLate(managed, request)) {
+        if (!this->isBaseline() && this->isTooLate(managed, request)) {
             noteEnded(this->hosts[job.host].table, managed.id);
             return false;
         }
@@ -274,7 +276,7 @@
     }
 
     /// Returns whether the request is expected to start after its latest start.
-    bool isPermitTooLate(const CoordinatedEngine &managed, const WaitingRequest &request) const
+    bool isTooLate(const CoordinatedEngine &managed, const WaitingRequest &request) const
     {
         const std::size_t slots = managed.engine.batchSlots;
         const std::size_t used = std::min(slots, managed.admitted.size());
@@ -486,7 +488,7 @@
         EngineReport report;
         report.running = static_cast<std::uint32_t>(managed.admitted.size());
         report.queued = static_cast<std::uint32_t>(managed.queue.size);
-        report.openSlots = openSlots(managed.adapters);
+        report.openSlots = openSlots(managed.adapters); // empty or evictable adapter slots
         for (const auto &[ref, adapter] : managed.adapters.adapters) {
             if (adapter.state == AdapterState::Loaded)
                 report.loaded.push_back(ref);
@@ -526,8 +528,8 @@
         this->schedule(this->now + tickInterval, [this] { this->tick(); });
     }
 
-    /// Restarts an engine with no adapters loaded. Its running requests are retried on other
-    /// engines within the retry budget.
+    /// Restarts a random engine, which then has no adapters. Its running requests are routed again
+    /// within the retry budget, possibly to the same engine.
     void restartOne()
     {
         const std::size_t index = this->random() % this->engines.size();
@@ -565,7 +567,7 @@
     Policy policy;
     const std::vector<Job> &jobs;
     std::mt19937_64 random;
-    KnownCharts charts;
+    KnownCharts charts; ///< State charts.
     const std::string baseModel = "base";
     FakeWeightStore store;
     std::vector<CoordinatedEngine> engines;
--- a/packages/charts/src/chart.cpp
+++ b/packages/charts/src/chart.cpp
@@ -89,15 +89,20 @@
 
     for (const std::string &state : raw.states) {
         if (!indexOf(states, state))
-            return invalid(0, "state '" + state + "' is unknown");
+            return invalid(
+                    0, "the file declares state '" + state + "', which the program does not have");
     }
     for (const std::string_view state : states) {
         if (!indexOf(raw.states, state))
-            return invalid(0, "state '" + std::string(state) + "' is missing");
+            return invalid(0,
+                           "the file lacks state '" + std::string(state)
+                                   + "', which the program needs");
     }
     const std::optional<std::uint16_t> initial = indexOf(states, raw.initial);
     if (!initial)
-        return invalid(0, "initial state '" + raw.initial + "' does not exist");
+        return invalid(0,
+                       "the initial attribute of the scxml element names no state: '" + raw.initial
+                               + "'");
     chart.initial = *initial;
 
     for (const Transition &transition : raw.transitions) {
@@ -105,7 +110,9 @@
         const std::optional<std::uint16_t> event = indexOf(events, transition.event);
         const std::optional<std::uint16_t> target = indexOf(states, transition.target);
         if (!source || !event || !target)
-            return invalid(transition.line, "unknown state or event in a transition");
+            return invalid(transition.line,
+                           "transition before the first state, or with an unknown or absent event "
+                           "or target");
         chart.next[*source * events.size() + *event] = *target;
     }
     return chart;
--- a/packages/routing/tests/routing_test.cpp
+++ b/packages/routing/tests/routing_test.cpp
@@ -17,7 +17,7 @@
 /// Engines e0, e1, ... with 16 batch slots each, in the own zone.
 UpstreamTable tableOf(int engines)
 {
-    std::unordered_map<UpstreamId, Upstream> inForce;
+    std::unordered_map<UpstreamId, Upstream> upstreamsInForce;
     for (int index = 0; index < engines; ++index) {
         Upstream upstream;
         upstream.id = UpstreamId{ "e" + std::to_string(index) };
@@ -25,10 +25,10 @@
         upstream.baseModel = baseModel;
         upstream.batchSlots = 16;
         upstream.adapterSlots = 8;
-        inForce[upstream.id] = upstream;
+        upstreamsInForce[upstream.id] = upstream;
     }
     UpstreamTable table;
-    setUpstreams(table, inForce, ZoneId{ "z" });
+    setUpstreams(table, upstreamsInForce, ZoneId{ "z" });
     return table;
 }
 
@@ -36,7 +36,7 @@
 {
     EngineReport summary;
     summary.running = running;
-    summary.openSlots = 8;
+    summary.openSlots = 8; // adapter slots that are empty or evictable
     if (hasAdapter)
         summary.loaded = { wanted };
     noteReport(table, UpstreamId{ id }, summary, Instant{ 0 });
@@ -68,7 +68,7 @@
     setState(table, UpstreamId{ "e0" }, UpstreamState::Leaving);
     EXPECT_FALSE(choose(table));
     setState(table, UpstreamId{ "e0" }, UpstreamState::Live);
-    setUpstreams(table, {}, ZoneId{ "z" }); // removed from the tickets
+    setUpstreams(table, {}, ZoneId{ "z" }); // the configuration no longer lists it
     EXPECT_FALSE(choose(table));
 }
 
@@ -125,17 +125,17 @@
 // waiting for the own zone when it is full and another one is idle.
 TEST(Routing, OwnZoneIsPreferredUntilItIsFull)
 {
-    std::unordered_map<UpstreamId, Upstream> inForce;
+    std::unordered_map<UpstreamId, Upstream> upstreamsInForce;
     for (const char *id : { "home", "away" }) {
         Upstream upstream;
         upstream.id = UpstreamId{ id };
         upstream.zone = ZoneId{ id };
         upstream.baseModel = baseModel;
         upstream.batchSlots = 16;
-        inForce[upstream.id] = upstream;
+        upstreamsInForce[upstream.id] = upstream;
     }
     UpstreamTable table;
-    setUpstreams(table, inForce, ZoneId{ "home" });
+    setUpstreams(table, upstreamsInForce, ZoneId{ "home" });
     report(table, "home", 2, true);
     report(table, "away", 0, true);
     EXPECT_EQ(choose(table), UpstreamId{ "home" });
--- a/packages/shell/include/azurewell/shell/control_loop.h
+++ b/packages/shell/include/azurewell/shell/control_loop.h
@@ -23,10 +23,12 @@
 class ControlLoop : public QObject
 {
 public:
+    /// \a charts: the state charts of the host.
     ControlLoop(Settings settings, KnownCharts charts, std::function<void()> onStopped);
     ~ControlLoop() override;
 
-    /// Opens all ports and starts the traffic threads. Errors: SettingsInvalid.
+    /// Opens all ports and starts the traffic threads. Returns the callers' port of the last
+    /// traffic thread. Errors: SettingsInvalid.
     Result<std::uint16_t> start();
     /// Begins a planned stop; `onStopped` is called once the last request has ended.
     void stop();
@@ -40,7 +42,7 @@
 
     void handleEvent(const Event &event);
     void executeActions(const std::vector<Action> &actions);
-    void report(std::uint32_t worker, const TrafficReport &report);
+    void handleReport(std::uint32_t worker, const TrafficReport &report);
     void sendToWorker(const RequestId &request, const TrafficOrder &order);
     void finishWorkers();
     void workerFinished();
@@ -55,7 +57,7 @@
     Metrics metrics;
     std::function<void()> onStopped;
     PeerLinks peers;
-    PlatformWatcher platform;
+    PlatformWatcher platform; ///< Reads the configuration service.
     EngineOrders engines;
     OperationsServer operations;
     QTimer tickTimer;
--- a/packages/shell/src/control_loop.cpp
+++ b/packages/shell/src/control_loop.cpp
@@ -30,10 +30,12 @@
         this->loop.sendToWorker(cancel.request, cancel);
         this->loop.engines.cancel(cancel);
     }
+    /// The store holds the recorded answers of earlier calls.
     void operator()(const AnswerFromStore &answer) const
     {
         this->sendFinalResponse(answer.request, answer);
     }
+    /// Call numbers identify non-idempotent calls.
     void operator()(const AnswerCallNumbers &answer) const
     {
         this->sendFinalResponse(answer.request, answer);
@@ -48,6 +50,7 @@
     {
         this->loop.peers.send(message.to, message.address, message.body);
     }
+    /// Sends an order to load or unload an adapter.
     void operator()(const OrderEngine &order) const
     {
         this->loop.engines.order(order);
@@ -56,6 +59,7 @@
     {
         this->loop.engines.queryLoad(query);
     }
+    /// A ticket is a numbered change of the configuration.
     void operator()(const TicketProcessed &ticket) const
     {
         const LogLevel level = ticket.isInForce ? LogLevel::Info : LogLevel::Error;
@@ -105,7 +109,7 @@
                                            QMetaObject::invokeMethod(
                                                    this,
                                                    [this, number, message = std::move(message)] {
-                                                       this->report(number, message);
+                                                       this->handleReport(number, message);
                                                    },
                                                    Qt::QueuedConnection);
                                        });
@@ -183,7 +187,7 @@
         std::visit(ActionExecutor{ *this }, action);
 }
 
-void ControlLoop::report(std::uint32_t worker, const TrafficReport &report)
+void ControlLoop::handleReport(std::uint32_t worker, const TrafficReport &report)
 {
     if (const LocalRefusal *refused = std::get_if<LocalRefusal>(&report)) {
         countRefusal(this->state.counters, refused->code);
@@ -238,8 +242,8 @@
                                  QByteArray::fromStdString(
                                          metricsText(this->state, this->metrics)) };
     if (path.startsWith("/show/")) {
-        const std::string record = path.mid(static_cast<qsizetype>(6)).toStdString();
-        const std::optional<std::string> text = showRecord(this->state.inForce, record);
+        const std::string recordPath = path.mid(static_cast<qsizetype>(6)).toStdString();
+        const std::optional<std::string> text = showRecord(this->state.inForce, recordPath);
         if (text)
             return OperationsAnswer{ 200, "application/json", QByteArray::fromStdString(*text) };
     }
@@ -254,13 +258,15 @@
     nlohmann::json json;
     json["host"] = this->state.self.id.value;
     json["zone"] = this->state.self.zone.value;
-    json["ticket"] = inForce.ticket.value;
+    json["ticket"] = inForce.ticket.value; // the newest in force
     const TicketState &tickets = this->state.tickets;
     if (tickets.refused.value > 0) // later tickets are blocked by it
         json["refused_ticket"] = { { "ticket", tickets.refused.value },
                                    { "why", tickets.rejectionReason } };
     json["longest_without_news"] = toSeconds(inForce.fleet.maxUpdateAge);
     json["customers"] = nlohmann::json::array();
+    // rate: tokens per second over all hosts; burst: tokens at once; ticket: the one that set the
+    // record
     for (const auto &[id, customer] : inForce.customers) {
         json["customers"].push_back({ { "id", id.value },
                                       { "rate", customer.rate.perSecond },
--- a/tests/sockets/platform_watcher_test.cpp
+++ b/tests/sockets/platform_watcher_test.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// A configuration service with one ticket and no hosts. It never answers the first calls for one
-/// key.
+/// A configuration service with one ticket (a numbered change of the configuration) and no hosts.
+/// It never answers the first calls for one key.
 class UnresponsiveService : public QTcpServer
 {
 public:
@@ -64,7 +64,7 @@
 Span timeUntilTicketIsRead(const UnresponsiveService &service, Span timeout)
 {
     Settings settings = parseSettings(defaultSettingsText()).value();
-    settings.platform = service.url();
+    settings.platform = service.url(); // address of the configuration service
     TicketNumber inForce;
     PlatformWatcher watcher(
             settings, [&] { return inForce; }, [](TicketNumber) { return Span{}; },
@@ -79,23 +79,25 @@
     return monotonicNow() - begin;
 }
 
-/// A confirmed ticket must be in force after 16 s; a watch that was answered before takes most of
-/// that.
-constexpr Span readTimeout = std::chrono::seconds(4);
+/// Limit for the whole start. A confirmed ticket must be in force after 16 s; a blocked watch that
+/// is never answered takes 11.5 s of that (10 s of waiting, 1.5 s of timeout). The rest must
+/// suffice for a retry after 1 s and two reads of up to 1.5 s each.
+constexpr Span maxStartTime = std::chrono::seconds(4);
 
 // Guards against a read that the configuration service never answers, which blocked all tickets
 // until its connection timed out.
 TEST(PlatformWatcherTest, AnUnansweredReadOfATicketIsRetriedWithinFourSeconds)
 {
     const UnresponsiveService service("/tickets/1?", 1);
-    EXPECT_LT(timeUntilTicketIsRead(service, 2 * readTimeout), readTimeout);
+    EXPECT_LT(timeUntilTicketIsRead(service, 2 * maxStartTime), maxStartTime);
 }
 
-// Guards against a first read of the host list that is never answered and not retried.
+// Guards against a first read of the host list that is never answered and not retried: tickets are
+// read only once the host list is known.
 TEST(PlatformWatcherTest, AnUnansweredReadOfTheHostListIsRetriedWithinFourSeconds)
 {
     const UnresponsiveService service("/hosts", 1);
-    EXPECT_LT(timeUntilTicketIsRead(service, 2 * readTimeout), readTimeout);
+    EXPECT_LT(timeUntilTicketIsRead(service, 2 * maxStartTime), maxStartTime);
 }
 
 } // namespace
--- a/tests/sockets/stop_test.cpp
+++ b/tests/sockets/stop_test.cpp
@@ -32,9 +32,10 @@
     std::unique_ptr<HostProcess> process;
 };
 
-// The platform replaces a host under load: streams are half sent, a filing waits for its answer,
-// and callers still connect until the load balancer removes the host. No request may be
-// interrupted, refused unnecessarily or reset, and the process exits with code 0.
+// The platform replaces a host under load: streams are half sent, a filing (a non-idempotent POST
+// to a plain service) waits for its answer, and callers still connect until the load balancer
+// removes the host. None of these requests may be interrupted, refused or reset, and the process
+// exits with code 0.
 TEST_F(PlannedStop, InterruptsNoRequest)
 {
     this->service.responseDelayMillis = 1500;
@@ -42,7 +43,7 @@
     for (int index = 0; index < 6; ++index) {
         streams.push_back(std::make_unique<Caller>(this->port));
         streams.back()->post("/v1/completions", completion("routes@3", longStreamTokens));
-        ASSERT_TRUE(streams.back()->waitFor("routes@3#2"));
+        ASSERT_TRUE(streams.back()->waitFor("routes@3#2")); // adapter@version#token number
     }
     Caller filing(this->port);
     filing.post("/services/filings/notices", "{}");
@@ -92,8 +93,8 @@
 }
 
 // A host is paused for longer than every lease, while it relays a stream, and resumes with outdated
-// state. Tokens that the engine sent meanwhile still reach the caller; nothing is sent on the
-// expired slot, and the host serves again.
+// state. Tokens that the engine sent meanwhile still reach the caller, no adapter is unloaded while
+// it serves, and the host serves again; the new leases themselves are not checked.
 TEST_F(PlannedStop, AHostThatResumesAfterLeaseExpiryServesOnNewLeases)
 {
     Caller stream(this->port);
