--- a/tests/sockets/filings_test.cpp
+++ b/tests/sockets/filings_test.cpp
@@ -18,8 +18,8 @@
 }
 
 /// Keeps the raw bytes of the parameter out of the test name.
-void PrintTo(const InterruptedFiling &filing,
-             std::ostream *out) // NOLINT(readability-identifier-naming)
+// NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest looks for
+void PrintTo(const InterruptedFiling &filing, std::ostream *out)
 {
     *out << (filing.isHalfAnswered ? "half" : "no") << " answer to \"" << filing.body << '"';
 }
