--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -104,7 +104,7 @@
         request.key = KeyHash{ std::string(64, 'a') };
         request.adapter = AdapterRef{ "a@1" };
         request.promptTokens = Tokens{ 10 };
-        request.mostGenerated = Tokens{ 20 };
+        request.maxGenerated = Tokens{ 20 };
         request.deadline = fleet.now + fromSeconds(30);
         fleet.deliver(HostId{ name }, request);
     }
--- a/fuzz/event_stream_fuzz.cpp
+++ b/fuzz/event_stream_fuzz.cpp
@@ -13,9 +13,9 @@
     azurewell::EventStream whole;
     azurewell::EventStream cut;
     const qsizetype middle = size == 0 ? 0 : data[0] % static_cast<qsizetype>(size);
-    const auto all = azurewell::takeEvents(whole, bytes);
-    const auto first = azurewell::takeEvents(cut, bytes.left(middle));
-    const auto second = azurewell::takeEvents(cut, bytes.mid(middle));
+    const auto all = azurewell::extractEvents(whole, bytes);
+    const auto first = azurewell::extractEvents(cut, bytes.left(middle));
+    const auto second = azurewell::extractEvents(cut, bytes.mid(middle));
     const bool isEqual = all && first && second
             && all.value().bytes == first.value().bytes + second.value().bytes
             && all.value().tokens == first.value().tokens + second.value().tokens
