--- a/benchmark/decision_cost.cpp
+++ b/benchmark/decision_cost.cpp
@@ -52,7 +52,7 @@
         report.openSlots = 2;
         for (std::size_t slot = 0; slot < adapterSlots; ++slot)
             report.loaded.push_back(adapterOf((number * adapterSlots + slot) % adapters));
-        noteReport(table, engineOf(number), std::move(report), Instant{ 0 });
+        recordReport(table, engineOf(number), std::move(report), Instant{ 0 });
     }
     return table;
 }
@@ -75,7 +75,7 @@
         const RouteRequest ask{ baseModel, adapter, ++request, {} };
         const std::optional<UpstreamId> chosen = chooseUpstream(table, ask, Instant{ 0 });
         recordSent(table, *chosen, adapter, Instant{ 0 });
-        noteEnded(table, *chosen);
+        recordEnded(table, *chosen);
         if (request % 64 == 0) { // a report of the engine clears the expected loads
             state.PauseTiming();
             for (UpstreamEntry &entry : table.entries)
@@ -103,7 +103,7 @@
     std::size_t next = 0;
     for (auto _ : state) {
         const std::size_t number = ++next % engines;
-        noteReport(table, table.entries[number].id, reports[number], Instant{ 0 });
+        recordReport(table, table.entries[number].id, reports[number], Instant{ 0 });
     }
 }
 BENCHMARK(takeReport)->ArgName("engines")->Arg(18)->Arg(3900);
--- a/benchmark/load_patterns/fleet_run.cpp
+++ b/benchmark/load_patterns/fleet_run.cpp
@@ -266,7 +266,7 @@
         request.queuedAt = this->now;
         recordSent(this->hosts[job.host].table, managed.id, job.adapter, this->now);
         if (!this->isBaseline() && this->isTooLate(managed, request)) {
-            noteEnded(this->hosts[job.host].table, managed.id);
+            recordEnded(this->hosts[job.host].table, managed.id);
             return false;
         }
         this->enqueuedAt[number] = this->now;
@@ -376,7 +376,7 @@
             recordPace(this->hosts[job.host].table, managed.id, job.generated, slotTime, slotTime,
                        this->now);
         }
-        noteEnded(this->hosts[job.host].table, managed.id);
+        recordEnded(this->hosts[job.host].table, managed.id);
         this->end(number, ending);
         this->serve(index);
     }
@@ -506,7 +506,7 @@
             const CoordinatedEngine &managed = this->engines[index];
             const EngineReport report = reportOf(managed);
             for (EntryHost &host : this->hosts)
-                noteReport(host.table, managed.id, report, this->now);
+                recordReport(host.table, managed.id, report, this->now);
         }
         this->schedule(this->now + heartbeatInterval, [this] { this->heartbeat(); });
     }
@@ -520,7 +520,7 @@
             for (const WaitingRequest &expired : takeExpired(managed.queue, this->now)) {
                 const std::size_t number = std::stoul(expired.request.value);
                 this->recordStall(managed, number, this->now);
-                noteEnded(this->hosts[this->jobs[number].host].table, managed.id);
+                recordEnded(this->hosts[this->jobs[number].host].table, managed.id);
                 this->end(number, Ending::Expired);
             }
             this->serve(index);
@@ -551,7 +551,7 @@
             numbers.insert(number);
         for (const std::size_t number : numbers) {
             EntryHost &host = this->hosts[this->jobs[number].host];
-            noteEnded(host.table, managed.id);
+            recordEnded(host.table, managed.id);
             if (takeRetry(host.retries))
                 this->route(number);
             else
--- a/packages/gateway/include/azurewell/gateway/adapter_uses.h
+++ b/packages/gateway/include/azurewell/gateway/adapter_uses.h
@@ -27,7 +27,7 @@
 void endUse(OwnUses &uses, const AdapterPlace &place);
 
 /// Returns the uses to report to the coordinator of \a engine and marks them as reported.
-std::vector<AdapterUse> takeUntold(OwnUses &uses, const UpstreamId &engine);
+std::vector<AdapterUse> takeUnreported(OwnUses &uses, const UpstreamId &engine);
 
 /// Uses of one engine's adapters as reported by other hosts; each holds until the given time.
 using RemoteUses = std::map<AdapterRef, std::map<HostId, Instant>>;
--- a/packages/gateway/include/azurewell/gateway/crash_quarantine.h
+++ b/packages/gateway/include/azurewell/gateway/crash_quarantine.h
@@ -76,7 +76,7 @@
 inline constexpr std::size_t quarantineThreshold = 3;
 
 /// Records \a suspicion. Returns true if the request becomes quarantined by it.
-bool noteSuspicion(CrashQuarantine &quarantine, const CrashSuspicion &suspicion, Instant now);
+bool recordSuspicion(CrashQuarantine &quarantine, const CrashSuspicion &suspicion, Instant now);
 
 /// Queues \a suspicion, which this host has recorded itself, for sending to the other hosts.
 void queueSuspicion(CrashQuarantine &quarantine, const CrashSuspicion &suspicion, Instant now);
@@ -96,13 +96,13 @@
 
 /// Refutes suspicions of an upstream that answered a call sent at \a sentAt and stated its
 /// incarnation.
-void noteReported(CrashQuarantine &quarantine, const UpstreamIncarnation &incarnation,
-                  Instant sentAt);
+void recordReported(CrashQuarantine &quarantine, const UpstreamIncarnation &incarnation,
+                    Instant sentAt);
 
 /// Refutes suspicions of an upstream that answered a request sent at \a sentAt without stating its
 /// incarnation.
-void noteAnswered(CrashQuarantine &quarantine, const UpstreamIncarnation &incarnation,
-                  Instant sentAt);
+void recordAnswered(CrashQuarantine &quarantine, const UpstreamIncarnation &incarnation,
+                    Instant sentAt);
 
 /// Clears all suspicions of a request that was answered completely.
 void clearSuspicions(CrashQuarantine &quarantine, const RequestDigest &digest);
--- a/packages/gateway/include/azurewell/gateway/customer_meter.h
+++ b/packages/gateway/include/azurewell/gateway/customer_meter.h
@@ -89,9 +89,9 @@
 
 /// Records that \a host has admitted \a admitted tokens since its start, \a inWindow of them within
 /// the window.
-void noteAdmittedElsewhere(CustomerMeter &meter, const HostId &host, Incarnation incarnation,
-                           double admitted, double inWindow, const MeterLimits &limits,
-                           Instant now);
+void recordAdmittedElsewhere(CustomerMeter &meter, const HostId &host, Incarnation incarnation,
+                             double admitted, double inWindow, const MeterLimits &limits,
+                             Instant now);
 
 /// Returns the tokens that a request of \a customer is charged. \a stated is the count in the
 /// request, if any.
--- a/packages/gateway/include/azurewell/gateway/gateway.h
+++ b/packages/gateway/include/azurewell/gateway/gateway.h
@@ -241,11 +241,11 @@
 void listUpstream(GatewayState &state, const ListedUpstream &listed, Instant now);
 void removeUpstream(GatewayState &state, const UpstreamId &id, Instant now);
 void declareVersion(GatewayState &state, const ModelName &adapter, std::uint64_t version);
-void notePlatformFailure(GatewayState &state, Instant now);
+void recordPlatformFailure(GatewayState &state, Instant now);
 
 /// Records that the platform answered this host. \a isNew: the answer contains changes, which are
 /// sent to the zone without delay.
-void notePlatformAnswer(GatewayState &state, bool isNew, Instant now);
+void recordPlatformAnswer(GatewayState &state, bool isNew, Instant now);
 
 /// Whether this host should read published state from the platform. In a large fleet a few hosts of
 /// each zone read it and send updates to the others: 86 hosts that all watched made 100 calls a
--- a/packages/gateway/include/azurewell/gateway/members.h
+++ b/packages/gateway/include/azurewell/gateway/members.h
@@ -99,12 +99,12 @@
 
 /// Records a message received from \a member. Returns false if it is of an earlier incarnation than
 /// the known one.
-bool noteMember(Members &members, const Member &member);
+bool recordMember(Members &members, const Member &member);
 
 /// Records that another host received a message from \a member at its `lastMessageAt`. An unknown
 /// member is sent a heartbeat and counts once it answers. For a known one it shows that the host is
 /// alive, even if it is unreachable from here.
-void noteReportedMember(Members &members, const Member &member);
+void recordReportedMember(Members &members, const Member &member);
 
 /// Updates which members are reachable and removes those past their retention. Call at each tick.
 void updateMembers(Members &members, Instant now);
--- a/packages/gateway/include/azurewell/gateway/order_rights.h
+++ b/packages/gateway/include/azurewell/gateway/order_rights.h
@@ -45,14 +45,14 @@
 inline constexpr Span reportValidity = std::chrono::milliseconds(900);
 
 /// Updates \a rights from a report of the engine that was requested at \a requestedAt.
-void noteReport(OrderRights &rights, const EngineState &engine, Instant requestedAt, Instant now);
+void recordReport(OrderRights &rights, const EngineState &engine, Instant requestedAt, Instant now);
 
 /// Updates \a rights from another host's update on the engine. It can show that the order count
 /// changed, but cannot confirm the right to order.
-void noteNews(OrderRights &rights, const EngineState &engine, Instant now);
+void recordEngineUpdate(OrderRights &rights, const EngineState &engine, Instant now);
 
 /// Records that the engine accepted an order of this host that was sent at \a sentAt.
-void noteOrderTaken(OrderRights &rights, Instant sentAt);
+void recordOrderAccepted(OrderRights &rights, Instant sentAt);
 
 /// How this host was started.
 struct OrderStart
--- a/packages/gateway/include/azurewell/gateway/platform_reader.h
+++ b/packages/gateway/include/azurewell/gateway/platform_reader.h
@@ -67,8 +67,9 @@
 
 /// Records an answer. After changes the next call is delayed by a pause that differs from host to
 /// host.
-void noteReadAnswer(PlatformReader &reader, bool hasChanges, std::mt19937_64 &random, Instant now);
+void recordReadAnswer(PlatformReader &reader, bool hasChanges, std::mt19937_64 &random,
+                      Instant now);
 
-void noteReadFailure(PlatformReader &reader, ReadFailure failure, Instant now);
+void recordReadFailure(PlatformReader &reader, ReadFailure failure, Instant now);
 
 } // namespace azurewell::gateway
--- a/packages/gateway/src/adapter_uses.cpp
+++ b/packages/gateway/src/adapter_uses.cpp
@@ -26,7 +26,7 @@
         --found->second.running;
 }
 
-std::vector<AdapterUse> takeUntold(OwnUses &uses, const UpstreamId &engine)
+std::vector<AdapterUse> takeUnreported(OwnUses &uses, const UpstreamId &engine)
 {
     std::vector<AdapterUse> reported;
     for (auto place = uses.lower_bound({ engine, {} });
--- a/packages/gateway/src/crash_quarantine.cpp
+++ b/packages/gateway/src/crash_quarantine.cpp
@@ -109,7 +109,7 @@
     return { upstream.listed.id, std::max(upstream.listed.engine.start, upstream.engine.start) };
 }
 
-bool noteSuspicion(CrashQuarantine &quarantine, const CrashSuspicion &suspicion, Instant now)
+bool recordSuspicion(CrashQuarantine &quarantine, const CrashSuspicion &suspicion, Instant now)
 {
     if (now >= suspicion.at + quarantineDuration)
         return false;
@@ -172,14 +172,14 @@
     return latestSuspicionAt(found->second) + quarantineDuration - now;
 }
 
-void noteReported(CrashQuarantine &quarantine, const UpstreamIncarnation &incarnation,
-                  Instant sentAt)
+void recordReported(CrashQuarantine &quarantine, const UpstreamIncarnation &incarnation,
+                    Instant sentAt)
 {
     refute(quarantine, incarnation, Instant{}, sentAt);
 }
 
-void noteAnswered(CrashQuarantine &quarantine, const UpstreamIncarnation &incarnation,
-                  Instant sentAt)
+void recordAnswered(CrashQuarantine &quarantine, const UpstreamIncarnation &incarnation,
+                    Instant sentAt)
 {
     refute(quarantine, incarnation, sentAt - minRestartTime, sentAt);
 }
--- a/packages/gateway/src/crashes.cpp
+++ b/packages/gateway/src/crashes.cpp
@@ -35,7 +35,7 @@
 void handleSuspicion(GatewayState &state, const CrashSuspicion &suspicion, RequestNumber except,
                      Instant now, Actions &actions)
 {
-    if (!noteSuspicion(state.quarantine, suspicion, now))
+    if (!recordSuspicion(state.quarantine, suspicion, now))
         return;
     actions.logEvents.push_back({ "request_quarantined",
                                   { { "digest", inHex(suspicion.digest) },
@@ -54,8 +54,8 @@
 
 } // namespace
 
-void noteConnectionLost(GatewayState &state, const RequestRecord &record, Instant now,
-                        Actions &actions)
+void recordConnectionLost(GatewayState &state, const RequestRecord &record, Instant now,
+                          Actions &actions)
 {
     const auto found = state.upstreams.find(record.upstream);
     // An upstream that is being removed is expected to close its connections.
@@ -83,7 +83,7 @@
         return;
     upstream.reportedStart = start;
     upstream.reportedAt = sentAt;
-    noteReported(state.quarantine, { upstream.listed.id, start }, sentAt);
+    recordReported(state.quarantine, { upstream.listed.id, start }, sentAt);
 }
 
 bool isDispatchBlocked(const GatewayState &state, const RequestRecord &record)
--- a/packages/gateway/src/customer_meter.cpp
+++ b/packages/gateway/src/customer_meter.cpp
@@ -149,8 +149,9 @@
     return customer.rate.perSecond > 0 && used > capacity / 2;
 }
 
-void noteAdmittedElsewhere(CustomerMeter &meter, const HostId &host, Incarnation incarnation,
-                           double admitted, double inWindow, const MeterLimits &limits, Instant now)
+void recordAdmittedElsewhere(CustomerMeter &meter, const HostId &host, Incarnation incarnation,
+                             double admitted, double inWindow, const MeterLimits &limits,
+                             Instant now)
 {
     const auto [known, isNew] = meter.others.try_emplace(host);
     HostUse &use = known->second;
--- a/packages/gateway/src/engine_orders.cpp
+++ b/packages/gateway/src/engine_orders.cpp
@@ -210,7 +210,7 @@
     const auto upstream = state.upstreams.find(event.engine);
     if (event.outcome == OrderOutcome::Taken
         || (event.outcome == OrderOutcome::AlreadyDone && !event.isLoad))
-        noteOrderTaken(engine.rights, event.sentAt);
+        recordOrderAccepted(engine.rights, event.sentAt);
     if (event.model.isBase()) {
         handleBaseLoadAnswer(engine, event, now, actions);
         return;
--- a/packages/gateway/src/engine_reports.cpp
+++ b/packages/gateway/src/engine_reports.cpp
@@ -179,7 +179,7 @@
     if (!event.state)
         return;
     Upstream &upstream = found->second;
-    noteReport(engine.rights, *event.state, event.queriedAt, now);
+    recordReport(engine.rights, *event.state, event.queriedAt, now);
     recordStart(state, upstream, event.state->start, event.queriedAt);
     applyReport(state, engine, *event.state, event.queriedAt, now);
     const EngineState before = upstream.engine;
--- a/packages/gateway/src/gateway.cpp
+++ b/packages/gateway/src/gateway.cpp
@@ -170,13 +170,13 @@
     wakeEngines(state);
 }
 
-void notePlatformFailure(GatewayState &state, Instant now)
+void recordPlatformFailure(GatewayState &state, Instant now)
 {
     state.platform = PlatformView::Failing;
     state.platformFailedAt = now;
 }
 
-void notePlatformAnswer(GatewayState &state, bool isNew, Instant now)
+void recordPlatformAnswer(GatewayState &state, bool isNew, Instant now)
 {
     state.platform = PlatformView::Answering;
     if (!isNew)
--- a/packages/gateway/src/gossip_exchange.cpp
+++ b/packages/gateway/src/gossip_exchange.cpp
@@ -125,8 +125,8 @@
 
 /// Sends the requester of a load the engine's state that it lacks, and records it as a receiver of
 /// later changes.
-void noteLoadRequester(GatewayState &state, const LoadRequest &request, const Gossip &from,
-                       Instant now, Actions &actions)
+void recordLoadRequester(GatewayState &state, const LoadRequest &request, const Gossip &from,
+                         Instant now, Actions &actions)
 {
     OrderedEngine &engine = state.engines[request.engine];
     if (from.zone != state.self.zone)
@@ -145,7 +145,7 @@
 {
     const LoadProspect prospect = enqueueLoad(state, request, now);
     if (prospect == LoadProspect::Coming) {
-        noteLoadRequester(state, request, from, now, actions);
+        recordLoadRequester(state, request, from, now, actions);
         return;
     }
     const bool isStoreBusy = prospect == LoadProspect::StoreBusy;
@@ -234,8 +234,8 @@
                 const std::vector<CustomerUse> &uses, Instant now)
 {
     for (const CustomerUse &use : uses) {
-        noteAdmittedElsewhere(state.meters[use.customer], from, incarnation, use.admitted,
-                              use.inWindow, state.self.meterLimits, now);
+        recordAdmittedElsewhere(state.meters[use.customer], from, incarnation, use.admitted,
+                                use.inWindow, state.self.meterLimits, now);
     }
 }
 
@@ -248,7 +248,7 @@
     Upstream &upstream = found->second;
     upstream.updatedBy = from;
     upstream.updatedAt = now;
-    noteNews(state.engines[update.engine].rights, update.state, now);
+    recordEngineUpdate(state.engines[update.engine].rights, update.state, now);
     recordStart(state, upstream, update.state.start, update.state.seenAt);
     if (update.state.seenAt < upstream.engine.seenAt)
         return;
@@ -263,7 +263,7 @@
 {
     ++state.counters.gossipReceived;
     const bool isNew = !state.members.others.contains(message.from);
-    if (!noteMember(state.members, senderOf(message, now)))
+    if (!recordMember(state.members, senderOf(message, now)))
         return;
     notifyReturned(state, message.from, now);
     if (isNew) {
@@ -274,9 +274,9 @@
         state.platformFailedAt = now;
     state.highestFencing = std::max(state.highestFencing, message.highestFencing);
     for (const MemberUpdate &member : message.members) {
-        noteReportedMember(state.members,
-                           { member.id, member.zone, member.address, member.incarnation,
-                             now - member.silentFor, now - member.silentFor });
+        recordReportedMember(state.members,
+                             { member.id, member.zone, member.address, member.incarnation,
+                               now - member.silentFor, now - member.silentFor });
     }
     handleUses(state, message.from, message.incarnation, message.uses, now);
     for (const EngineUpdate &update : message.engines)
--- a/packages/gateway/src/heartbeats.cpp
+++ b/packages/gateway/src/heartbeats.cpp
@@ -77,7 +77,7 @@
         if (upstream == state.upstreams.end()
             || coordinatorOf(state, upstream->second, now) != coordinator)
             continue;
-        const std::vector<AdapterUse> here = takeUntold(state.ownUses, id);
+        const std::vector<AdapterUse> here = takeUnreported(state.ownUses, id);
         uses.insert(uses.end(), here.begin(), here.end());
     }
     return uses;
--- a/packages/gateway/src/internal.h
+++ b/packages/gateway/src/internal.h
@@ -182,8 +182,8 @@
 void sendAdapterUses(GatewayState &state, const Upstream &engine, Instant now, Actions &actions);
 
 /// Handles a connection to an upstream that ended before the answer to \a record was complete.
-void noteConnectionLost(GatewayState &state, const RequestRecord &record, Instant now,
-                        Actions &actions);
+void recordConnectionLost(GatewayState &state, const RequestRecord &record, Instant now,
+                          Actions &actions);
 
 /// Handles the crash suspicions of other hosts.
 void handleSuspicions(GatewayState &state, const std::vector<CrashSuspicion> &suspicions,
--- a/packages/gateway/src/loads.cpp
+++ b/packages/gateway/src/loads.cpp
@@ -78,7 +78,7 @@
     if (coordinator == state.self.id)
         return;
     Gossip message = messageHeader(state, now);
-    message.adapterUses = takeUntold(state.ownUses, engine.listed.id);
+    message.adapterUses = takeUnreported(state.ownUses, engine.listed.id);
     sendTo(state, coordinator, MessageKind::AdapterUses, std::move(message), actions);
 }
 
--- a/packages/gateway/src/members.cpp
+++ b/packages/gateway/src/members.cpp
@@ -160,7 +160,7 @@
     members.heartbeats.set(member.id, at);
 }
 
-bool noteMember(Members &members, const Member &member)
+bool recordMember(Members &members, const Member &member)
 {
     if (member.id == members.self)
         return false;
@@ -196,7 +196,7 @@
     return true;
 }
 
-void noteReportedMember(Members &members, const Member &member)
+void recordReportedMember(Members &members, const Member &member)
 {
     if (member.id == members.self)
         return;
--- a/packages/gateway/src/order_rights.cpp
+++ b/packages/gateway/src/order_rights.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-void noteReport(OrderRights &rights, const EngineState &engine, Instant requestedAt, Instant now)
+void recordReport(OrderRights &rights, const EngineState &engine, Instant requestedAt, Instant now)
 {
     const bool isRestarted = engine.start != rights.start;
     const bool isFirstReport = rights.unchangedSince.micros == 0;
@@ -60,7 +60,7 @@
     rights.confirmedAt = std::max(rights.confirmedAt, requestedAt);
 }
 
-void noteNews(OrderRights &rights, const EngineState &engine, Instant now)
+void recordEngineUpdate(OrderRights &rights, const EngineState &engine, Instant now)
 {
     const bool isRestarted = engine.start != rights.start;
     if (!isRestarted && engine.ordersTaken <= rights.expectedOrders
@@ -72,7 +72,7 @@
     rights.start = engine.start;
 }
 
-void noteOrderTaken(OrderRights &rights, Instant sentAt)
+void recordOrderAccepted(OrderRights &rights, Instant sentAt)
 {
     ++rights.expectedOrders;
     rights.lastOrderAt = std::max(rights.lastOrderAt, sentAt);
--- a/packages/gateway/src/platform_reader.cpp
+++ b/packages/gateway/src/platform_reader.cpp
@@ -94,7 +94,7 @@
     return ReadCall{ wait, now + wait + reader.times.answerTimeout };
 }
 
-void noteReadAnswer(PlatformReader &reader, bool hasChanges, std::mt19937_64 &random, Instant now)
+void recordReadAnswer(PlatformReader &reader, bool hasChanges, std::mt19937_64 &random, Instant now)
 {
     reader.isCallActive = false;
     reader.answeredAt = now;
@@ -103,7 +103,7 @@
         reader.nextCallAt = now + randomPause(reader.times, random);
 }
 
-void noteReadFailure(PlatformReader &reader, ReadFailure failure, Instant now)
+void recordReadFailure(PlatformReader &reader, ReadFailure failure, Instant now)
 {
     reader.isCallActive = false;
     ++reader.failuresInARow;
--- a/packages/gateway/src/published.cpp
+++ b/packages/gateway/src/published.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t maxGaps = 16;
 
 /// Records that a listing has shown all items that existed at \a revision.
-void noteListing(PublishedState &state, std::uint64_t revision)
+void recordListing(PublishedState &state, std::uint64_t revision)
 {
     if (revision <= state.revision)
         return;
@@ -67,7 +67,7 @@
         state.newestChange = std::max(state.newestChange, revision);
         changed.push_back(item);
     }
-    noteListing(state, revision);
+    recordListing(state, revision);
     return changed;
 }
 
--- a/packages/gateway/src/requests.cpp
+++ b/packages/gateway/src/requests.cpp
@@ -291,7 +291,7 @@
     record.hasAnswerStarted = true;
     const auto upstream = state.upstreams.find(record.upstream);
     if (upstream != state.upstreams.end())
-        noteAnswered(state.quarantine, incarnationOf(upstream->second), record.sentAt);
+        recordAnswered(state.quarantine, incarnationOf(upstream->second), record.sentAt);
     if (record.isEngineIdle && !record.arrivedRequest.model.model.empty()) {
         recordPrefill(state.prefillRates[record.service],
                       static_cast<double>(record.arrivedRequest.promptTokens.count),
@@ -310,9 +310,9 @@
     if (upstream != state.upstreams.end())
         recordHealth(upstream->second, healthSignalOf(event.outcome), now);
     if (event.isCutOff && event.outcome == AttemptOutcome::Failed)
-        noteConnectionLost(state, record, now, actions);
+        recordConnectionLost(state, record, now, actions);
     else if (upstream != state.upstreams.end() && hasAnswered(event.outcome))
-        noteAnswered(state.quarantine, incarnationOf(upstream->second), record.sentAt);
+        recordAnswered(state.quarantine, incarnationOf(upstream->second), record.sentAt);
     if (event.outcome == AttemptOutcome::Done)
         clearSuspicions(state.quarantine, record.digest);
     if (record.isEarlyAttempt)
--- a/packages/gateway/src/zone_relay.cpp
+++ b/packages/gateway/src/zone_relay.cpp
@@ -51,7 +51,7 @@
     return a->linkMbps != b->linkMbps ? a->linkMbps > b->linkMbps : rankOf(*a) > rankOf(*b);
 }
 
-void noteRelayRequest(Member &member, Instant now)
+void recordRelayRequest(Member &member, Instant now)
 {
     if (member.relayRequestedAt.micros == 0 || member.lastMessageAt > member.relayRequestedAt)
         member.relayRequestedAt = now;
@@ -112,7 +112,7 @@
     std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(relays),
                       candidates.end(), isPreferred);
     Member *relay = candidates[stableHash(members.self.value) % relays];
-    noteRelayRequest(*relay, now);
+    recordRelayRequest(*relay, now);
     return relay;
 }
 
--- a/packages/gateway/tests/crash_quarantine_test.cpp
+++ b/packages/gateway/tests/crash_quarantine_test.cpp
@@ -15,8 +15,8 @@
 
     bool suspect(std::uint64_t digest, const UpstreamIncarnation &incarnation)
     {
-        return noteSuspicion(this->quarantine, { RequestDigest{ digest }, incarnation, this->now },
-                             this->now);
+        return recordSuspicion(this->quarantine,
+                               { RequestDigest{ digest }, incarnation, this->now }, this->now);
     }
 
     /// Records suspicions of the request at \a upstreams upstreams.
@@ -59,9 +59,9 @@
 {
     this->suspectAtUpstreams(1, quarantineThreshold);
     ASSERT_TRUE(this->isInQuarantine(1));
-    noteAnswered(this->quarantine, incarnation("e0"), this->now);
+    recordAnswered(this->quarantine, incarnation("e0"), this->now);
     EXPECT_TRUE(this->isInQuarantine(1)) << "the request was sent before the suspicion";
-    noteAnswered(this->quarantine, incarnation("e0"), this->now + std::chrono::milliseconds(50));
+    recordAnswered(this->quarantine, incarnation("e0"), this->now + std::chrono::milliseconds(50));
     EXPECT_FALSE(this->isInQuarantine(1));
     EXPECT_EQ(this->quarantine.suspicionsRefuted, 1U);
 }
@@ -71,10 +71,10 @@
 TEST_F(CrashQuarantineTest, RestartedUpstreamRefutesNothing)
 {
     this->suspectAtUpstreams(1, quarantineThreshold);
-    noteAnswered(this->quarantine, incarnation("e0"), this->now + std::chrono::seconds(3));
-    noteReported(this->quarantine, incarnation("e1", 2), this->now + std::chrono::seconds(3));
+    recordAnswered(this->quarantine, incarnation("e0"), this->now + std::chrono::seconds(3));
+    recordReported(this->quarantine, incarnation("e1", 2), this->now + std::chrono::seconds(3));
     EXPECT_TRUE(this->isInQuarantine(1));
-    noteReported(this->quarantine, incarnation("e1"), this->now + std::chrono::seconds(3));
+    recordReported(this->quarantine, incarnation("e1"), this->now + std::chrono::seconds(3));
     EXPECT_FALSE(this->isInQuarantine(1));
 }
 
@@ -117,13 +117,13 @@
 {
     const CrashSuspicion first{ RequestDigest{ 1 }, incarnation("a"), this->now };
     const CrashSuspicion second{ RequestDigest{ 2 }, incarnation("b"), this->now };
-    noteSuspicion(this->quarantine, first, this->now);
-    noteSuspicion(this->quarantine, second, this->now);
+    recordSuspicion(this->quarantine, first, this->now);
+    recordSuspicion(this->quarantine, second, this->now);
     queueSuspicion(this->quarantine, first, this->now);
     queueSuspicion(this->quarantine, second, this->now);
     EXPECT_EQ(takePending(this->quarantine, this->now).size(), 2U);
     EXPECT_TRUE(takePending(this->quarantine, this->now).empty());
-    noteReported(this->quarantine, incarnation("b"), this->now + std::chrono::milliseconds(20));
+    recordReported(this->quarantine, incarnation("b"), this->now + std::chrono::milliseconds(20));
     std::size_t sentCount = 0;
     for (int second = 1; second <= 5; ++second)
         sentCount += takePending(this->quarantine, this->now + std::chrono::seconds(second)).size();
@@ -138,7 +138,7 @@
     this->suspectAtUpstreams(3, 1);
     CrashQuarantine joined;
     for (const CrashSuspicion &suspicion : severeSuspicions(this->quarantine))
-        noteSuspicion(joined, suspicion, this->now + std::chrono::minutes(5));
+        recordSuspicion(joined, suspicion, this->now + std::chrono::minutes(5));
     EXPECT_TRUE(isQuarantined(joined, RequestDigest{ 1 }));
     EXPECT_TRUE(isSuspected(joined, RequestDigest{ 2 }));
     EXPECT_FALSE(isSuspected(joined, RequestDigest{ 3 }));
--- a/packages/gateway/tests/customer_meter_test.cpp
+++ b/packages/gateway/tests/customer_meter_test.cpp
@@ -25,15 +25,15 @@
 
     void receiveFrom(const std::string &name, bool isLeaving = false)
     {
-        noteMember(this->members,
-                   { HostId{ name },
-                     ZoneId{ "z" },
-                     { name, 1 },
-                     Incarnation{ 1 },
-                     this->now,
-                     this->now,
-                     isLeaving,
-                     false });
+        recordMember(this->members,
+                     { HostId{ name },
+                       ZoneId{ "z" },
+                       { name, 1 },
+                       Incarnation{ 1 },
+                       this->now,
+                       this->now,
+                       isLeaving,
+                       false });
     }
 
     /// Admits requests of \a size until one is refused; returns the tokens admitted.
@@ -72,10 +72,10 @@
     // customer's connections over both.
     CustomerMeter meter;
     this->receiveFrom("h1");
-    noteAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 1 }, 6000, 6000, this->limits,
-                          this->now);
-    noteAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 1 }, 7000, 7000, this->limits,
-                          this->now);
+    recordAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 1 }, 6000, 6000, this->limits,
+                            this->now);
+    recordAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 1 }, 7000, 7000, this->limits,
+                            this->now);
     const double here = this->admitAll(meter, 50);
     EXPECT_LE(here + 7000, 9000 * maxUseFactor);
     EXPECT_GT(here + 7000, 9000 * maxUseFactor * 0.93);
@@ -120,10 +120,10 @@
 {
     CustomerMeter meter;
     this->receiveFrom("h1");
-    noteAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 2 }, 100, 100, this->limits,
-                          this->now);
-    noteAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 1 }, 9000, 9000, this->limits,
-                          this->now);
+    recordAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 2 }, 100, 100, this->limits,
+                            this->now);
+    recordAdmittedElsewhere(meter, HostId{ "h1" }, Incarnation{ 1 }, 9000, 9000, this->limits,
+                            this->now);
     EXPECT_DOUBLE_EQ(meter.others.at(HostId{ "h1" }).window.sum, 100);
 }
 
--- a/packages/gateway/tests/order_rights_test.cpp
+++ b/packages/gateway/tests/order_rights_test.cpp
@@ -17,7 +17,7 @@
         const std::vector<std::string> names{ "a", "b", "c" };
         this->members.self.value = names.front();
         for (const std::string &name : names)
-            noteMember(this->members, memberNamed(name));
+            recordMember(this->members, memberNamed(name));
         const std::vector<HostId> ranked = rankedHosts(this->members, ZoneId{ "z" }, "e");
         this->members = {};
         this->members.zone.value = "z";
@@ -36,7 +36,7 @@
     void receiveHeartbeats()
     {
         for (const HostId &other : this->others)
-            noteMember(this->members, this->memberNamed(other.value));
+            recordMember(this->members, this->memberNamed(other.value));
     }
 
     /// Advances the time by \a span in ticks, with heartbeats if \a isReachable and reports with
@@ -51,7 +51,7 @@
             updateMembers(this->members, this->now);
             EngineState state;
             state.ordersTaken = orders;
-            noteReport(this->rights, state, this->now, this->now);
+            recordReport(this->rights, state, this->now, this->now);
         }
     }
 
@@ -106,7 +106,7 @@
         for (const std::string &name : { "k", "l", "m", "n" }) {
             Member member = this->memberNamed(name);
             member.zone.value = "y";
-            noteMember(to, member);
+            recordMember(to, member);
         }
     };
     Members zone;
@@ -131,7 +131,7 @@
     this->advance(std::chrono::seconds(5), true, 5);
     ASSERT_TRUE(this->mayOrderNow());
     this->advance(std::chrono::milliseconds(1500), false, 5);
-    noteOrderTaken(this->rights, this->now);
+    recordOrderAccepted(this->rights, this->now);
     EXPECT_TRUE(this->mayOrderNow());
     this->advance(std::chrono::milliseconds(1600), false, 6);
     EXPECT_FALSE(this->mayOrderNow());
--- a/packages/gateway/tests/platform_reader_test.cpp
+++ b/packages/gateway/tests/platform_reader_test.cpp
@@ -60,12 +60,12 @@
         const Instant answer = this->store.answerAt(this->now, call->wait, this->known);
         if (answer >= call->callDeadline) {
             this->now = call->callDeadline + pollInterval;
-            noteReadFailure(this->reader, ReadFailure::NoAnswer, this->now);
+            recordReadFailure(this->reader, ReadFailure::NoAnswer, this->now);
             return;
         }
         this->now = answer;
         const std::uint64_t revision = this->store.revisionAt(answer - FakeStore::oneWay);
-        noteReadAnswer(this->reader, revision > this->known, this->random, this->now);
+        recordReadAnswer(this->reader, revision > this->known, this->random, this->now);
         this->known = revision;
     }
 
--- a/packages/gateway/tests/published_test.cpp
+++ b/packages/gateway/tests/published_test.cpp
@@ -118,16 +118,16 @@
     const AdapterPlace place{ UpstreamId{ "e" }, { "m", "a" } };
     beginUse(uses, place);
     beginUse(uses, place);
-    std::vector<AdapterUse> sent = takeUntold(uses, place.first);
+    std::vector<AdapterUse> sent = takeUnreported(uses, place.first);
     ASSERT_EQ(sent.size(), 1U);
     EXPECT_TRUE(sent.front().isRunning);
     EXPECT_EQ(sent.front().begun, 2U);
     endUse(uses, place);
     endUse(uses, place);
-    sent = takeUntold(uses, place.first);
+    sent = takeUnreported(uses, place.first);
     ASSERT_EQ(sent.size(), 1U);
     EXPECT_FALSE(sent.front().isRunning);
-    EXPECT_TRUE(takeUntold(uses, place.first).empty());
+    EXPECT_TRUE(takeUnreported(uses, place.first).empty());
 }
 
 TEST(AdapterUses, OfUnreachableHostExpire)
--- a/packages/gateway/tests/reading_fleet.h
+++ b/packages/gateway/tests/reading_fleet.h
@@ -148,13 +148,13 @@
         if (!state.platformReader.isCallActive)
             return;
         if (host.isRejected) {
-            noteReadFailure(state.platformReader, ReadFailure::Rejected, this->now);
-            notePlatformFailure(state, this->now);
+            recordReadFailure(state.platformReader, ReadFailure::Rejected, this->now);
+            recordPlatformFailure(state, this->now);
         } else if (this->now >= host.answerAt) {
             this->takeAnswer(host);
         } else if (this->now >= host.giveUpAt) {
-            noteReadFailure(state.platformReader, ReadFailure::NoAnswer, this->now);
-            notePlatformFailure(state, this->now);
+            recordReadFailure(state.platformReader, ReadFailure::NoAnswer, this->now);
+            recordPlatformFailure(state, this->now);
         }
     }
 
@@ -163,8 +163,8 @@
         GatewayState &state = host.state;
         const std::uint64_t revision = this->store.revisionAt(host.answerAt - FakeStore::oneWay);
         const bool isNew = revision > host.requestedAfter;
-        noteReadAnswer(state.platformReader, isNew, this->random, this->now);
-        notePlatformAnswer(state, isNew, this->now);
+        recordReadAnswer(state.platformReader, isNew, this->random, this->now);
+        recordPlatformAnswer(state, isNew, this->now);
         if (!this->store.hasHistoryAfter(host.requestedAfter, this->now)) {
             const std::string value(this->store.valueBytes, 'v');
             applyListing(state.published, { { "k", revision, false, value } }, revision);
--- a/packages/gateway/tests/requests_test.cpp
+++ b/packages/gateway/tests/requests_test.cpp
@@ -114,13 +114,13 @@
     {
         for (int host = 0; host < 20; ++host) {
             const std::string name = "peer" + std::to_string(host);
-            noteMember(this->state.members,
-                       { HostId{ name },
-                         ZoneId{ "z" },
-                         { name, 1 },
-                         Incarnation{ 1 },
-                         this->now,
-                         this->now });
+            recordMember(this->state.members,
+                         { HostId{ name },
+                           ZoneId{ "z" },
+                           { name, 1 },
+                           Incarnation{ 1 },
+                           this->now,
+                           this->now });
         }
     }
 
--- a/packages/gateway/tests/zone_relay_test.cpp
+++ b/packages/gateway/tests/zone_relay_test.cpp
@@ -32,7 +32,7 @@
         member.lastMessageAt = this->now;
         member.lastAliveAt = this->now;
         member.linkMbps = linkMbps;
-        noteMember(this->members, member);
+        recordMember(this->members, member);
     }
 
     std::string selectedRelay()
--- a/packages/host/src/upstreams.cpp
+++ b/packages/host/src/upstreams.cpp
@@ -45,7 +45,7 @@
 void uncountRouted(Step &step, RequestRecord &record)
 {
     if (record.isRouted)
-        noteEnded(step.state.routing, record.upstream);
+        recordEnded(step.state.routing, record.upstream);
     record.isRouted = false;
 }
 
@@ -106,7 +106,7 @@
         report.loaded = summary.loaded;
         report.keepsLoaded = summary.isPartial;
         report.wanted = summary.wanted;
-        noteReport(step.state.routing, summary.engine, std::move(report), step.now);
+        recordReport(step.state.routing, summary.engine, std::move(report), step.now);
     }
 }
 
--- a/packages/routing/include/azurewell/routing/upstream_table.h
+++ b/packages/routing/include/azurewell/routing/upstream_table.h
@@ -90,13 +90,13 @@
 void setState(UpstreamTable &table, const UpstreamId &id, UpstreamState state);
 
 /// Applies a coordinator's report.
-void noteReport(UpstreamTable &table, const UpstreamId &id, EngineReport report, Instant now);
+void recordReport(UpstreamTable &table, const UpstreamId &id, EngineReport report, Instant now);
 
 /// Records a request of this host that was sent to \a id or that requested a slot there.
 void recordSent(UpstreamTable &table, const UpstreamId &id, const AdapterRef &adapter, Instant now);
 
 /// Records the end of a request recorded by recordSent(), whatever its outcome.
-void noteEnded(UpstreamTable &table, const UpstreamId &id);
+void recordEnded(UpstreamTable &table, const UpstreamId &id);
 
 /// Updates the pace of \a id and its group with a request whose \a tokens took \a took; \a held is
 /// the request's whole slot time, if known.
--- a/packages/routing/src/upstream_table.cpp
+++ b/packages/routing/src/upstream_table.cpp
@@ -147,7 +147,7 @@
         entry->state = state;
 }
 
-void noteReport(UpstreamTable &table, const UpstreamId &id, EngineReport report, Instant now)
+void recordReport(UpstreamTable &table, const UpstreamId &id, EngineReport report, Instant now)
 {
     const auto found = table.byId.find(id);
     if (found == table.byId.end())
@@ -191,7 +191,7 @@
     addHolder(table, adapter, found->second);
 }
 
-void noteEnded(UpstreamTable &table, const UpstreamId &id)
+void recordEnded(UpstreamTable &table, const UpstreamId &id)
 {
     UpstreamEntry *entry = entryOf(table, id);
     if (!entry)
--- a/packages/routing/tests/routing_test.cpp
+++ b/packages/routing/tests/routing_test.cpp
@@ -39,7 +39,7 @@
     summary.openSlots = 8; // adapter slots that are empty or evictable
     if (hasAdapter)
         summary.loaded = { wanted };
-    noteReport(table, UpstreamId{ id }, summary, Instant{ 0 });
+    recordReport(table, UpstreamId{ id }, summary, Instant{ 0 });
 }
 
 std::optional<UpstreamId> choose(const UpstreamTable &table, Instant now = Instant{ 0 },
@@ -115,7 +115,7 @@
     EXPECT_EQ(choose(table, later), UpstreamId{ "e0" });
     recordSent(table, UpstreamId{ "e0" }, wanted, later);
     EXPECT_EQ(choose(table, later), UpstreamId{ "e1" });
-    noteEnded(table, UpstreamId{ "e0" });
+    recordEnded(table, UpstreamId{ "e0" });
     for (int answer = 0; answer < 10; ++answer)
         recordPace(table, UpstreamId{ "e0" }, Tokens{ 50 }, took, std::nullopt, later);
     EXPECT_EQ(choose(table, later), UpstreamId{ "e0" });
